--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -102,7 +102,7 @@
 
 /// A start under way to an upstream that has a newer owner.
 #[derive(Debug)]
-pub(crate) struct OrphanStart {
+pub(crate) struct SupersededStart {
     pub(crate) task: (HeldBatchKey, TaskIndex),
     pub(crate) upstream: Arc<str>,
 }
@@ -130,7 +130,7 @@
     pub(crate) lingering: IndexMap<(Incarnation, u64), Timestamp>,
     pub(crate) orders: IndexMap<OrderId, PendingOrder>,
     /// Starts under way to upstreams that have a newer owner.
-    pub(crate) orphan_starts: IndexMap<OrderId, OrphanStart>,
+    pub(crate) superseded_starts: IndexMap<OrderId, SupersededStart>,
     next_order: u64,
     /// Upstreams that were lost to a newer owner, with the version of the roster then in force.
     pub(crate) lost: IndexMap<Arc<str>, u64>,
@@ -155,7 +155,7 @@
             queue: Vec::new(),
             lingering: IndexMap::new(),
             orders: IndexMap::new(),
-            orphan_starts: IndexMap::new(),
+            superseded_starts: IndexMap::new(),
             next_order: 1,
             lost: IndexMap::new(),
             order: Box::new(LeastSlack),
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -11,11 +11,11 @@
 use super::leased_run::StopReason;
 use super::leased_upstream::Contact;
 use super::leased_upstream::Stray;
-use super::owner::OrphanStart;
 use super::owner::Owner;
 use super::owner::OwnerNotice;
 use super::owner::OwnerTimer;
 use super::owner::PendingKind;
+use super::owner::SupersededStart;
 use super::run_id::HeldBatchKey;
 use super::run_id::LeasedUpstreamKey;
 use super::run_id::OrderId;
@@ -88,7 +88,7 @@
         };
         let on = pending.upstream;
         if !self.upstreams.contains_key(on) {
-            return self.orphan_answered(now, order, &answer);
+            return self.superseded_start_answered(now, order, &answer);
         }
         self.read_clock(now, on, &answer);
         match pending.kind {
@@ -113,8 +113,9 @@
     }
 
     /// Takes in what came of a start that was under way when its upstream got a newer owner.
-    fn orphan_answered(&mut self, now: Timestamp, order: OrderId, answer: &OrderAnswer) {
-        let Some(OrphanStart { task, upstream }) = self.orphan_starts.swap_remove(&order) else {
+    fn superseded_start_answered(&mut self, now: Timestamp, order: OrderId, answer: &OrderAnswer) {
+        let Some(SupersededStart { task, upstream }) = self.superseded_starts.swap_remove(&order)
+        else {
             return;
         };
         match answer {
@@ -803,8 +804,8 @@
             match starts.get(&run) {
                 // Its answer tells whether it started.
                 Some(order) if leased.phase == RunPhase::Starting => {
-                    let orphan = OrphanStart { task, upstream };
-                    self.orphan_starts.insert(*order, orphan);
+                    let superseded = SupersededStart { task, upstream };
+                    self.superseded_starts.insert(*order, superseded);
                 }
                 _ => self.hand_over(now, task, &upstream),
             }
