--- a/entry/src/decision_metrics.rs
+++ b/entry/src/decision_metrics.rs
@@ -11,7 +11,7 @@
     given_up: IntCounterVec,
     started_over: IntCounterVec,
     found_ends: IntCounterVec,
-    adrift: IntCounter,
+    orphaned: IntCounter,
 }
 
 impl DecisionMetrics {
@@ -36,16 +36,16 @@
             "Ends of open tasks that another owner of the upstream found.",
             "end",
         )?;
-        let adrift = IntCounter::new(
+        let orphaned = IntCounter::new(
             "almondhead_runs_adrift_total",
             "Runs that may go on while no owner in reach answers for them.",
         )?;
-        registry.register(Box::new(adrift.clone()))?;
+        registry.register(Box::new(orphaned.clone()))?;
         Ok(DecisionMetrics {
             given_up,
             started_over,
             found_ends,
-            adrift,
+            orphaned,
         })
     }
 
@@ -63,6 +63,6 @@
         for (end, count) in counts.found_ends() {
             copy(&self.found_ends.with_label_values(&[end]), count);
         }
-        copy(&self.adrift, counts.adrift());
+        copy(&self.orphaned, counts.orphaned());
     }
 }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -49,7 +49,7 @@
 const OVERDUE_TIME: Duration = Duration::from_millis(10);
 
 /// How long a task adrift waits for the next owner of its upstream to ask for it.
-pub(crate) const ADRIFT_TIME: Duration = Duration::from_millis(700);
+pub(crate) const ORPHAN_CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// How long after its owner was last heard a run can still be asked for: the longest lease that the
 /// owner can have ordered.
@@ -76,7 +76,7 @@
     /// Some of a job's tasks are overdue and others are not.
     Overdue(HomeJobKey),
     /// A task adrift has not been asked for.
-    Adrift(HomeJobKey),
+    OrphanTimeout(HomeJobKey),
     /// The answer of an ended job is kept no longer.
     Forget(JobId),
 }
@@ -270,11 +270,11 @@
             };
             let state = &mut self.jobs[key].tasks[task];
             let placed = HomeState::Placed { owner, batch };
-            let is_adrift = matches!(state.state, HomeState::Adrift { from, .. } if from == Some((owner, batch)));
-            if is_adrift {
+            let is_orphaned = matches!(state.state, HomeState::Orphaned { from, .. } if from == Some((owner, batch)));
+            if is_orphaned {
                 state.regain_owner(owner);
             }
-            if is_adrift || state.state == placed {
+            if is_orphaned || state.state == placed {
                 self.end_task(now, key, task, end);
             }
         }
@@ -287,7 +287,7 @@
         if let Some(since) = unheard_since.filter(|_| !matches!(end, RunEnd::Done { .. })) {
             // What ended may be a run of an earlier attempt.
             tracing::warn!(job = %job.id, run = %run, ?end, "end is no proof while an owner is out of reach");
-            self.set_adrift(now, key, task, since, None);
+            self.set_orphaned(now, key, task, since, None);
             return self.close_empty_batches(key);
         }
         match &end {
@@ -413,7 +413,7 @@
         }
     }
 
-    fn set_adrift(
+    fn set_orphaned(
         &mut self,
         now: Timestamp,
         key: HomeJobKey,
@@ -424,26 +424,26 @@
         let job = &mut self.jobs[key];
         let age_ms = whole_ms(now.since(since));
         tracing::info!(job = %job.id, run = %job.run(task), age_ms, ?from, "run adrift");
-        job.tasks[task].state = HomeState::Adrift { since, from };
-        self.counts.adrift += 1;
+        job.tasks[task].state = HomeState::Orphaned { since, from };
+        self.counts.orphaned += 1;
         let claimable_until = (since + CLAIMABLE_TIME).max(now);
-        let due = claimable_until.min(now + ADRIFT_TIME);
-        self.timers.subscribe(due, HomeTimer::Adrift(key));
+        let due = claimable_until.min(now + ORPHAN_CLAIM_TIMEOUT);
+        self.timers.subscribe(due, HomeTimer::OrphanTimeout(key));
     }
 
     /// Decides about tasks adrift that nobody asked for.
-    fn adrift_overdue(&mut self, now: Timestamp, key: HomeJobKey) {
+    fn on_orphan_timeout(&mut self, now: Timestamp, key: HomeJobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
         let tasks = (0..).zip(&job.tasks);
-        let adrift: Vec<(usize, Timestamp)> = tasks
+        let orphaned: Vec<(usize, Timestamp)> = tasks
             .filter_map(|(task, state)| match state.state {
-                HomeState::Adrift { since, .. } => Some((task, since)),
+                HomeState::Orphaned { since, .. } => Some((task, since)),
                 _ => None,
             })
             .collect();
-        for (task, since) in adrift {
+        for (task, since) in orphaned {
             let Some(job) = self.jobs.get(key) else {
                 return;
             };
@@ -451,12 +451,13 @@
             if ended_at <= now {
                 let age_ms = whole_ms(now.since(since));
                 tracing::info!(job = %job.id, run = %job.run(task), age_ms, "adrift run is over");
-                self.counts.started_over_adrift += 1;
+                self.counts.started_over_orphaned += 1;
                 self.start_over(now, key, task);
             } else if ended_at + job.least_run(task) > job.deadline {
                 self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::OwnerLost));
             } else {
-                self.timers.subscribe(ended_at, HomeTimer::Adrift(key));
+                self.timers
+                    .subscribe(ended_at, HomeTimer::OrphanTimeout(key));
             }
         }
     }
@@ -479,7 +480,7 @@
             self.jobs[key].may_have_run = true;
             for (task, batch) in tasks {
                 self.jobs[key].tasks[task].lose_owner(owner, last_heard);
-                self.set_adrift(now, key, task, last_heard, Some((owner, batch)));
+                self.set_orphaned(now, key, task, last_heard, Some((owner, batch)));
             }
         }
         self.batches.retain(|(at, _), _| *at != owner);
@@ -492,7 +493,7 @@
     pub(crate) fn end_owner(&mut self, owner: OwnerRef) {
         let tasks = self.jobs.values_mut().flat_map(|job| &mut job.tasks);
         for task in tasks {
-            if let HomeState::Adrift { from, .. } = &mut task.state {
+            if let HomeState::Orphaned { from, .. } = &mut task.state {
                 from.take_if(|(at, _)| *at == owner);
             }
         }
@@ -567,7 +568,7 @@
         upstream: Arc<str>,
     ) {
         let run = self.jobs[key].run(task);
-        self.set_adrift(now, key, task, now, None);
+        self.set_orphaned(now, key, task, now, None);
         let found = self.found.swap_remove(&run);
         let found = found.filter(|found| found.is_recent(now) && found.upstream == upstream);
         self.jobs[key].tasks[task].handed_over_on = Some(upstream);
@@ -581,7 +582,7 @@
         let key = *self.by_id.get(&run.task.job)?;
         let task = self.jobs[key].task_of(run)?;
         match self.jobs[key].tasks[task].state {
-            HomeState::Placed { .. } | HomeState::Adrift { .. } => Some((key, task)),
+            HomeState::Placed { .. } | HomeState::Orphaned { .. } => Some((key, task)),
             _ => None,
         }
     }
@@ -616,7 +617,7 @@
         held: &[u64],
         highest_taken: u64,
     ) {
-        self.judge_adrift(now, owner, held, highest_taken);
+        self.resolve_orphans(now, owner, held, highest_taken);
         let missing = self.batches.iter().filter(|((at, number), batch)| {
             let was_taken = *number <= highest_taken;
             let was_lost = now.since(batch.sent_at) >= BATCH_ON_ITS_WAY;
@@ -643,7 +644,7 @@
                 );
                 if is_adoption {
                     // The owner never took charge of what runs: it may still run.
-                    self.set_adrift(now, key, task, now, None);
+                    self.set_orphaned(now, key, task, now, None);
                 } else {
                     self.restart_ended(now, key, task);
                 }
@@ -652,11 +653,17 @@
     }
 
     /// Decides about tasks adrift whose owner is heard again.
-    fn judge_adrift(&mut self, now: Timestamp, owner: OwnerRef, held: &[u64], highest_taken: u64) {
+    fn resolve_orphans(
+        &mut self,
+        now: Timestamp,
+        owner: OwnerRef,
+        held: &[u64],
+        highest_taken: u64,
+    ) {
         let keys: Vec<HomeJobKey> = self.jobs.keys().collect();
         for key in keys {
             let from_owner = |state: HomeState| match state {
-                HomeState::Adrift {
+                HomeState::Orphaned {
                     from: Some((at, batch)),
                     ..
                 } if at == owner => Some(batch),
@@ -930,7 +937,7 @@
                 HomeTimer::Deadline(key) => self.pass_deadline(now, key),
                 HomeTimer::Ending(key) => self.ending_overdue(now, key),
                 HomeTimer::Overdue(key) => self.place_overdue(key),
-                HomeTimer::Adrift(key) => self.adrift_overdue(now, key),
+                HomeTimer::OrphanTimeout(key) => self.on_orphan_timeout(now, key),
                 HomeTimer::Forget(id) => {
                     self.ended.swap_remove(&id);
                 }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -120,7 +120,7 @@
         tasks.any(|task| {
             matches!(
                 task.state,
-                HomeState::Placed { .. } | HomeState::Adrift { .. }
+                HomeState::Placed { .. } | HomeState::Orphaned { .. }
             )
         })
     }
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -47,7 +47,7 @@
         batch: u64,
     },
     /// It may still run, and nobody who says so is in reach.
-    Adrift {
+    Orphaned {
         /// Since when.
         since: Timestamp,
         /// The owner out of reach and its batch; none when another owner has the upstream.
@@ -110,7 +110,7 @@
 
     /// Whether its run, which no owner in reach has, can only be on this upstream.
     pub(crate) fn is_surely_on(&self, now: Timestamp, upstream: &str) -> bool {
-        matches!(self.state, HomeState::Adrift { .. })
+        matches!(self.state, HomeState::Orphaned { .. })
             && self.may_run_unheard_since(now).is_none()
             && self.handed_over_on.as_deref() == Some(upstream)
     }
--- a/lib/src/runs/run_counts.rs
+++ b/lib/src/runs/run_counts.rs
@@ -16,11 +16,11 @@
     pub(crate) started_over_too_slow: u64,
     pub(crate) started_over_failed: u64,
     pub(crate) started_over_not_held: u64,
-    pub(crate) started_over_adrift: u64,
+    pub(crate) started_over_orphaned: u64,
     found_done: u64,
     found_failed: u64,
     found_lost: u64,
-    pub(crate) adrift: u64,
+    pub(crate) orphaned: u64,
 }
 
 impl RunCounts {
@@ -65,7 +65,7 @@
             ("too_slow", self.started_over_too_slow),
             ("failed", self.started_over_failed),
             ("not_held", self.started_over_not_held),
-            ("adrift_over", self.started_over_adrift),
+            ("adrift_over", self.started_over_orphaned),
         ]
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// The runs for which no owner in reach answered.
-    pub fn adrift(&self) -> u64 {
-        self.adrift
+    pub fn orphaned(&self) -> u64 {
+        self.orphaned
     }
 }
--- a/lib/tests/run_counts.rs
+++ b/lib/tests/run_counts.rs
@@ -22,7 +22,7 @@
     site.start_node(1);
     site.run_ms(1_500);
     let counts = site.counts(0);
-    assert_eq!(counts.adrift(), 4, "{counts:?}");
+    assert_eq!(counts.orphaned(), 4, "{counts:?}");
     assert_eq!(count(&counts.found_ends(), "done"), 4, "{counts:?}");
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
