--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -40,7 +40,7 @@
 
 /// A run that is listed and that nobody here ordered.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Stray {
+pub(crate) struct UnclaimedRun {
     /// The first order that was given after it was seen.
     pub(crate) seen_before: OrderId,
     pub(crate) asked: bool,
@@ -59,7 +59,7 @@
     pub(crate) seen_end: u64,
     pub(crate) lease_until_ms: u64,
     pub(crate) runs: IndexMap<RunId, LeasedRun>,
-    pub(crate) strays: IndexMap<RunId, Stray>,
+    pub(crate) unclaimed_runs: IndexMap<RunId, UnclaimedRun>,
     /// The last ends of runs that this instance did not order.
     pub(crate) found_ends: IndexMap<RunId, EndedHow>,
     pub(crate) health: UpstreamHealth,
@@ -85,7 +85,7 @@
             seen_end: 0,
             lease_until_ms: 0,
             runs: IndexMap::new(),
-            strays: IndexMap::new(),
+            unclaimed_runs: IndexMap::new(),
             found_ends: IndexMap::new(),
             health: UpstreamHealth::default(),
             speed: LearnedSpeed::default(),
@@ -119,7 +119,7 @@
     /// Whether a task may start there now, as far as room is not concerned.
     pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
         let in_flight = u32::try_from(self.runs.len()).unwrap_or(u32::MAX);
-        self.is_usable() && self.strays.is_empty() && self.health.may_start(now, in_flight)
+        self.is_usable() && self.unclaimed_runs.is_empty() && self.health.may_start(now, in_flight)
     }
 
     /// Whether it is in touch and stays.
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -356,7 +356,7 @@
             return false;
         };
         let upstream = &mut self.upstreams[on];
-        if upstream.strays.swap_remove(&run).is_none() {
+        if upstream.unclaimed_runs.swap_remove(&run).is_none() {
             return false;
         }
         batch.tasks[task].state = HeldState::Running(on);
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -10,7 +10,7 @@
 use super::leased_run::RunPhase;
 use super::leased_run::StopReason;
 use super::leased_upstream::Contact;
-use super::leased_upstream::Stray;
+use super::leased_upstream::UnclaimedRun;
 use super::owner::Owner;
 use super::owner::OwnerNotice;
 use super::owner::OwnerTimer;
@@ -437,7 +437,7 @@
         let (brought_news, found) = self.take_ends(now, on, is_exact, &report.ended);
         self.take_running(now, on, look, &report.running);
         self.find_vanished(now, on, look, &report.running);
-        self.announce_strays(now, on, look, first, found);
+        self.announce_unclaimed_runs(now, on, look, first, found);
         self.drop_if_released(on);
         brought_news
     }
@@ -462,7 +462,7 @@
             let Some(run) = row.run else {
                 continue;
             };
-            upstream.strays.swap_remove(&run);
+            upstream.unclaimed_runs.swap_remove(&run);
             if upstream.runs.contains_key(&run) {
                 self.end_run(now, on, run, row.how, is_exact);
             } else {
@@ -547,18 +547,21 @@
                     }
                 }
                 None => {
-                    upstream.strays.entry(row.run).or_insert(Stray {
-                        seen_before: from,
-                        asked: false,
-                    });
+                    upstream
+                        .unclaimed_runs
+                        .entry(row.run)
+                        .or_insert(UnclaimedRun {
+                            seen_before: from,
+                            asked: false,
+                        });
                 }
             }
         }
         // A report asked for before a stray was seen may be older than its end.
         let is_listed = |run: &RunId| running.iter().any(|row| row.run == *run);
         upstream
-            .strays
-            .retain(|run, stray| is_listed(run) || look.order < stray.seen_before);
+            .unclaimed_runs
+            .retain(|run, unclaimed| is_listed(run) || look.order < unclaimed.seen_before);
         for (run, reason) in hopeless {
             self.stop_hopeless(now, on, run, reason);
         }
@@ -660,7 +663,7 @@
     }
 
     /// Asks homes for runs that this instance did not order, and passes on ends of such runs.
-    fn announce_strays(
+    fn announce_unclaimed_runs(
         &mut self,
         now: Timestamp,
         on: LeasedUpstreamKey,
@@ -670,9 +673,9 @@
     ) {
         let upstream = &mut self.upstreams[on];
         let mut running = Vec::new();
-        for (run, stray) in &mut upstream.strays {
-            if !stray.asked && (first || look.order >= stray.seen_before) {
-                stray.asked = true;
+        for (run, unclaimed) in &mut upstream.unclaimed_runs {
+            if !unclaimed.asked && (first || look.order >= unclaimed.seen_before) {
+                unclaimed.asked = true;
                 running.push(*run);
             }
         }
@@ -754,7 +757,7 @@
         upstream.raise_fence();
         upstream.seen_end = 0;
         upstream.contact = Contact::Taking;
-        upstream.strays.clear();
+        upstream.unclaimed_runs.clear();
         upstream.found_ends.clear();
     }
 
@@ -833,8 +836,8 @@
         let Some(upstream) = self.upstreams.get_mut(on) else {
             return;
         };
-        let due = upstream.strays.iter();
-        let due = due.filter(|(_, stray)| stray.asked);
+        let due = upstream.unclaimed_runs.iter();
+        let due = due.filter(|(_, unclaimed)| unclaimed.asked);
         let due: Vec<RunId> = due.map(|(run, _)| *run).collect();
         if due.is_empty() {
             return;
