--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -199,13 +199,13 @@
     match order {
         RunOrder::Start { .. } => "start",
         RunOrder::Stop { .. } => "stop",
-        RunOrder::Hold { .. } => "hold",
+        RunOrder::Renew { .. } => "hold",
     }
 }
 
 fn order_answer_name(answer: &OrderAnswer) -> &'static str {
     match answer {
-        OrderAnswer::Done { .. } | OrderAnswer::Held(_) => "done",
+        OrderAnswer::Done { .. } | OrderAnswer::Renewed(_) => "done",
         OrderAnswer::Refused { .. } => "refused",
         OrderAnswer::NotSent => "not_sent",
         OrderAnswer::Lost => "lost",
--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -67,9 +67,9 @@
     /// When it last listed what runs.
     pub(crate) reported_at: Timestamp,
     /// Whether the last hold was not answered.
-    pub(crate) has_missed: bool,
+    pub(crate) has_missed_renew: bool,
     /// Whether a hold is under way.
-    pub(crate) is_held: bool,
+    pub(crate) is_renew_pending: bool,
 }
 
 impl LeasedUpstream {
@@ -90,8 +90,8 @@
             health: UpstreamHealth::default(),
             speed: LearnedSpeed::default(),
             reported_at: Timestamp::ZERO,
-            has_missed: false,
-            is_held: false,
+            has_missed_renew: false,
+            is_renew_pending: false,
         }
     }
 
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum OwnerTimer {
     /// Look at the upstream again.
-    Hold(LeasedUpstreamKey),
+    Renew(LeasedUpstreamKey),
     /// The leases there have run out if it is still silent.
     Lapse(LeasedUpstreamKey),
     /// Runs there that nobody has claimed are stopped.
@@ -111,7 +111,7 @@
 pub(crate) enum PendingKind {
     Start(RunId),
     Stop(RunId),
-    Hold,
+    Renew,
     /// A look beside the hold that is under way.
     Probe,
 }
@@ -205,7 +205,7 @@
         let upstream = LeasedUpstream::new(listed.clone(), version);
         let key = self.upstreams.insert(upstream);
         self.by_id.insert(listed.id.clone(), key);
-        self.hold(now, key);
+        self.renew(now, key);
     }
 
     fn relist(&mut self, now: Timestamp, key: LeasedUpstreamKey, listed: &Arc<ListedUpstream>) {
@@ -220,7 +220,7 @@
         upstream.listed = listed.clone();
         if upstream.born_unix_ms.is_some() && listed.born_unix_ms > upstream.born_unix_ms {
             self.begin_life(key, listed.born_unix_ms);
-            self.hold(now, key);
+            self.renew(now, key);
         }
     }
 
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -25,9 +25,9 @@
 use super::run_message::RunEnd;
 use super::run_order::EndedHow;
 use super::run_order::EndedRow;
-use super::run_order::HoldReport;
 use super::run_order::OrderAnswer;
 use super::run_order::OrderRefusal;
+use super::run_order::RenewReport;
 use super::run_order::RunOrder;
 use super::run_order::RunningRow;
 use super::upstream_clock::UpstreamClock;
@@ -38,13 +38,13 @@
 /// How long a hold waits for an end while something runs.
 ///
 /// Most are answered sooner, by an end. One whose answer is lost delays the ends by this time.
-pub(crate) const BUSY_HOLD: Duration = Duration::from_millis(120);
+pub(crate) const BUSY_RENEW_WAIT: Duration = Duration::from_millis(120);
 
 /// How long a hold waits for an end while nothing runs; a start lasts longer by itself.
-pub(crate) const IDLE_HOLD: Duration = Duration::from_millis(500);
+pub(crate) const IDLE_RENEW_WAIT: Duration = Duration::from_millis(500);
 
 /// The shortest time between two holds that bring nothing new.
-const HOLD_GAP: Duration = Duration::from_millis(40);
+const MIN_RENEW_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How long after a hold without an answer the next look follows.
 const SILENT_RETRY: Duration = Duration::from_millis(100);
@@ -94,13 +94,13 @@
         match pending.kind {
             PendingKind::Start(run) => self.start_answered(now, on, run, answer),
             PendingKind::Stop(run) => self.stop_answered(now, on, run, &answer),
-            PendingKind::Hold => {
-                self.upstreams[on].is_held = false;
+            PendingKind::Renew => {
+                self.upstreams[on].is_renew_pending = false;
                 let look = Look {
                     order,
                     sent_at: pending.sent_at,
                 };
-                self.hold_answered(now, on, look, answer);
+                self.renew_answered(now, on, look, answer);
             }
             PendingKind::Probe => {
                 let look = Look {
@@ -159,7 +159,7 @@
             return;
         };
         match answer {
-            OrderAnswer::Done { .. } | OrderAnswer::Held(_) => {
+            OrderAnswer::Done { .. } | OrderAnswer::Renewed(_) => {
                 if leased.phase == RunPhase::Starting {
                     leased.phase = RunPhase::Active { from };
                     if leased.expected_run >= LONG_RUN {
@@ -281,7 +281,7 @@
         self.timers.subscribe(now + STOP_RETRY, again);
     }
 
-    fn hold_answered(
+    fn renew_answered(
         &mut self,
         now: Timestamp,
         on: LeasedUpstreamKey,
@@ -289,32 +289,33 @@
         answer: OrderAnswer,
     ) {
         match answer {
-            OrderAnswer::Held(report) => {
+            OrderAnswer::Renewed(report) => {
                 let brought_news = self.take_report(now, on, look, report);
-                let came_early = now.since(look.sent_at) < HOLD_GAP;
+                let came_early = now.since(look.sent_at) < MIN_RENEW_INTERVAL;
                 if !self.upstreams.contains_key(on) {
                     return;
                 }
                 if brought_news || !came_early {
-                    self.hold(now, on);
+                    self.renew(now, on);
                 } else {
-                    self.timers.subscribe(now + HOLD_GAP, OwnerTimer::Hold(on));
+                    self.timers
+                        .subscribe(now + MIN_RENEW_INTERVAL, OwnerTimer::Renew(on));
                 }
             }
             OrderAnswer::Refused { refusal, .. } => {
-                self.hold_refused(now, on, refusal);
+                self.renew_refused(now, on, refusal);
             }
-            _ => self.hold_missed(now, on),
+            _ => self.renew_missed(now, on),
         }
     }
 
     /// Looks again at once after a hold without an answer: one may be lost on its way.
-    fn hold_missed(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
+    fn renew_missed(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
         let upstream = &mut self.upstreams[on];
-        let is_first = upstream.contact == Contact::InTouch && !upstream.has_missed;
-        upstream.has_missed = true;
+        let is_first = upstream.contact == Contact::InTouch && !upstream.has_missed_renew;
+        upstream.has_missed_renew = true;
         if is_first {
-            return self.hold(now, on);
+            return self.renew(now, on);
         }
         self.fall_silent(now, on);
     }
@@ -327,11 +328,11 @@
         answer: OrderAnswer,
     ) {
         match answer {
-            OrderAnswer::Held(report) => {
+            OrderAnswer::Renewed(report) => {
                 self.take_report(now, on, look, report);
             }
             OrderAnswer::Refused { refusal, .. } => {
-                self.hold_refused(now, on, refusal);
+                self.renew_refused(now, on, refusal);
             }
             // The hold beside it tells whether the upstream is silent.
             _ => self.retry_probe(now, on),
@@ -348,7 +349,7 @@
         }
     }
 
-    fn hold_refused(&mut self, now: Timestamp, on: LeasedUpstreamKey, refusal: OrderRefusal) {
+    fn renew_refused(&mut self, now: Timestamp, on: LeasedUpstreamKey, refusal: OrderRefusal) {
         match refusal {
             OrderRefusal::Fence => self.lose_to_newer_owner(now, on),
             OrderRefusal::OtherLife => self.lose_upstream(now, on),
@@ -361,33 +362,33 @@
     }
 
     /// Renews the leases on an upstream and waits for ends, unless that is under way.
-    pub(crate) fn hold(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
+    pub(crate) fn renew(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
         let lease = self.lease;
         let Some(upstream) = self.upstreams.get_mut(on) else {
             return;
         };
-        if upstream.is_held {
+        if upstream.is_renew_pending {
             return;
         }
-        upstream.is_held = true;
+        upstream.is_renew_pending = true;
         let wait = match upstream.contact {
-            Contact::InTouch if upstream.has_missed => Duration::ZERO,
-            Contact::InTouch if upstream.runs.is_empty() => IDLE_HOLD,
-            Contact::InTouch => BUSY_HOLD,
+            Contact::InTouch if upstream.has_missed_renew => Duration::ZERO,
+            Contact::InTouch if upstream.runs.is_empty() => IDLE_RENEW_WAIT,
+            Contact::InTouch => BUSY_RENEW_WAIT,
             _ => Duration::ZERO,
         };
         // An upstream that does not answer is looked at without renewing: its leases are to run out.
         let lease_until_ms = match upstream.contact {
-            Contact::InTouch if !upstream.has_missed => upstream.extend_lease(now, lease),
+            Contact::InTouch if !upstream.has_missed_renew => upstream.extend_lease(now, lease),
             _ => None,
         };
-        let order = RunOrder::Hold {
+        let order = RunOrder::Renew {
             lease_until_ms,
             fence: upstream.fence,
             seen_end: upstream.seen_end,
             wait,
         };
-        self.give(now, on, PendingKind::Hold, order);
+        self.give(now, on, PendingKind::Renew, order);
     }
 
     /// Looks at an upstream at once, beside a hold that waits.
@@ -395,7 +396,7 @@
         let Some(upstream) = self.upstreams.get(on) else {
             return;
         };
-        let order = RunOrder::Hold {
+        let order = RunOrder::Renew {
             lease_until_ms: None,
             fence: upstream.fence,
             seen_end: upstream.seen_end,
@@ -410,7 +411,7 @@
         now: Timestamp,
         on: LeasedUpstreamKey,
         look: Look,
-        report: HoldReport,
+        report: RenewReport,
     ) -> bool {
         let lease = self.lease;
         let upstream = &mut self.upstreams[on];
@@ -425,7 +426,7 @@
             // Leases of before were given on another clock, or by another owner.
             upstream.lease_until_ms = report.clock_ms.saturating_add(whole_ms(lease));
         }
-        upstream.has_missed = false;
+        upstream.has_missed_renew = false;
         // A hold that waits is answered by the end itself.
         let is_exact = look.sent_at.since(upstream.reported_at) <= LISTENING_GAP;
         upstream.reported_at = now;
@@ -724,7 +725,7 @@
             true => IDLE_SILENT_RETRY,
             false => SILENT_RETRY,
         };
-        self.timers.subscribe(now + retry, OwnerTimer::Hold(on));
+        self.timers.subscribe(now + retry, OwnerTimer::Renew(on));
     }
 
     /// Loses all runs of an upstream that is still silent when its leases have run out.
@@ -853,7 +854,7 @@
     pub(crate) fn run_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                OwnerTimer::Hold(on) => self.hold(now, on),
+                OwnerTimer::Renew(on) => self.renew(now, on),
                 OwnerTimer::Lapse(on) => self.lapse(now, on),
                 OwnerTimer::Unclaimed(on) => self.stop_unclaimed(now, on),
                 OwnerTimer::StopAgain(on, run) => self.stop_again(now, on, run),
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -41,7 +41,7 @@
         fence: u64,
     },
     /// Renew the lease of all that runs, and list it.
-    Hold {
+    Renew {
         /// How long the upstream may keep running without another order, on its own clock; none
         /// to look without renewing.
         lease_until_ms: Option<u64>,
@@ -63,7 +63,7 @@
         clock_ms: Option<u64>,
     },
     /// A hold was carried out.
-    Held(HoldReport),
+    Renewed(RenewReport),
     /// It was refused; nothing was done.
     Refused {
         /// Why.
@@ -106,7 +106,7 @@
 
 /// What an upstream lists.
 #[value]
-pub struct HoldReport {
+pub struct RenewReport {
     /// Its clock.
     pub clock_ms: u64,
     /// When this life of it began, in milliseconds since the Unix epoch, where it says so.
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -40,7 +40,7 @@
 use super::upstream::SimUpstream;
 use super::upstream::StartAsked;
 use super::upstream::UpstreamFault;
-use super::upstream::WaitingHold;
+use super::upstream::WaitingRenew;
 
 /// The size of a simulated site.
 #[derive(Clone, Debug)]
@@ -133,7 +133,7 @@
         order: OrderId,
     },
     Advance(usize),
-    HoldOver(usize),
+    RenewWaitOver(usize),
     ReadStore(usize),
 }
 
@@ -174,7 +174,7 @@
 const PEER_DELAY: Duration = Duration::from_micros(900);
 const ORDER_DELAY: Duration = Duration::from_micros(400);
 const ORDER_TIMEOUT: Duration = Duration::from_millis(60);
-const HOLD_GRACE: Duration = Duration::from_millis(80);
+const RENEW_GRACE: Duration = Duration::from_millis(80);
 /// How long after the start of a process the connections to and from it are open.
 const CONNECT_TIME: Duration = Duration::from_millis(20);
 /// As the process reads the roster and the list.
@@ -610,7 +610,7 @@
                 self.answer_order(node, life, order, OrderAnswer::Lost, Duration::ZERO);
             }
             Happening::Advance(upstream) => self.advance(upstream),
-            Happening::HoldOver(upstream) => self.answer_holds(upstream, false),
+            Happening::RenewWaitOver(upstream) => self.answer_renews(upstream, false),
             Happening::ReadStore(node) => {
                 self.beat(node);
                 self.read_store(node);
@@ -741,7 +741,7 @@
         self.orders += 1;
         let life = self.nodes[node].life;
         let wait = match &what {
-            RunOrder::Hold { wait, .. } => *wait + HOLD_GRACE,
+            RunOrder::Renew { wait, .. } => *wait + RENEW_GRACE,
             _ => ORDER_TIMEOUT,
         };
         self.waiting_orders.insert((node, life, order));
@@ -799,25 +799,25 @@
                 let result = state.stop(*run, *fence);
                 result.map(|()| OrderAnswer::Done { clock_ms })
             }
-            RunOrder::Hold {
+            RunOrder::Renew {
                 lease_until_ms,
                 fence,
                 seen_end,
                 wait,
             } => {
-                let result = state.hold(now, *lease_until_ms, *fence, *seen_end);
+                let result = state.renew(now, *lease_until_ms, *fence, *seen_end);
                 if result.is_ok() && state.ended.is_empty() && !wait.is_zero() {
-                    state.holds.push(WaitingHold {
+                    state.renews.push(WaitingRenew {
                         node,
                         life,
                         order,
                         until: now + *wait,
                         is_lost: !is_answered,
                     });
-                    self.at(*wait, Happening::HoldOver(upstream));
+                    self.at(*wait, Happening::RenewWaitOver(upstream));
                     return self.advance(upstream);
                 }
-                result.map(|()| OrderAnswer::Held(state.report(now)))
+                result.map(|()| OrderAnswer::Renewed(state.report(now)))
             }
         };
         let answer = done.unwrap_or_else(|refusal| OrderAnswer::Refused { refusal, clock_ms });
@@ -825,7 +825,7 @@
             self.answer_order(node, life, order, answer, ORDER_DELAY);
         }
         self.advance(upstream);
-        self.answer_holds(upstream, false);
+        self.answer_renews(upstream, false);
     }
 
     fn start_run(
@@ -885,27 +885,27 @@
             self.at(at.since(self.now), Happening::Advance(upstream));
         }
         if brought {
-            self.answer_holds(upstream, true);
+            self.answer_renews(upstream, true);
         }
     }
 
-    fn answer_holds(&mut self, upstream: usize, all: bool) {
+    fn answer_renews(&mut self, upstream: usize, all: bool) {
         let now = self.now;
         let state = &mut self.upstreams[upstream];
         if state.fault == Some(UpstreamFault::Dark) {
             return;
         }
-        let due: Vec<WaitingHold> = state
-            .holds
-            .extract_if(.., |hold| all || hold.until <= now)
+        let due: Vec<WaitingRenew> = state
+            .renews
+            .extract_if(.., |renew| all || renew.until <= now)
             .collect();
         let report = state.report(now);
-        for hold in due.into_iter().filter(|hold| !hold.is_lost) {
-            if self.is_deaf(hold.node, upstream) {
+        for renew in due.into_iter().filter(|renew| !renew.is_lost) {
+            if self.is_deaf(renew.node, upstream) {
                 continue;
             }
-            let answer = OrderAnswer::Held(report.clone());
-            self.answer_order(hold.node, hold.life, hold.order, answer, ORDER_DELAY);
+            let answer = OrderAnswer::Renewed(report.clone());
+            self.answer_order(renew.node, renew.life, renew.order, answer, ORDER_DELAY);
         }
     }
 
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -10,8 +10,8 @@
 use almondhead_lib::runs::run_id::TaskName;
 use almondhead_lib::runs::run_order::EndedHow;
 use almondhead_lib::runs::run_order::EndedRow;
-use almondhead_lib::runs::run_order::HoldReport;
 use almondhead_lib::runs::run_order::OrderRefusal;
+use almondhead_lib::runs::run_order::RenewReport;
 use almondhead_lib::runs::run_order::RunningRow;
 use almondhead_lib::time::Timestamp;
 use indexmap::IndexMap;
@@ -41,7 +41,7 @@
 
 /// A hold that waits for an end.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct WaitingHold {
+pub(super) struct WaitingRenew {
     pub(super) node: usize,
     pub(super) life: u64,
     pub(super) order: OrderId,
@@ -60,7 +60,7 @@
     pub(super) ended: Vec<EndedRow>,
     pub(super) next_end: u64,
     pub(super) newest_ended: IndexMap<TaskName, u32>,
-    pub(super) holds: Vec<WaitingHold>,
+    pub(super) renews: Vec<WaitingRenew>,
     pub(super) starts: u64,
     /// When this life of it began, and what its clock showed then.
     started_at: Timestamp,
@@ -91,7 +91,7 @@
             ended: Vec::new(),
             next_end: 1,
             newest_ended: IndexMap::new(),
-            holds: Vec::new(),
+            renews: Vec::new(),
             starts: 0,
             started_at: Timestamp::ZERO,
             clock_offset_ms: CLOCK_OFFSET_MS,
@@ -188,7 +188,7 @@
     }
 
     /// Takes a hold; the ends up to `seen_end` are forgotten.
-    pub(super) fn hold(
+    pub(super) fn renew(
         &mut self,
         now: Timestamp,
         lease_until_ms: Option<u64>,
@@ -203,12 +203,12 @@
         Ok(())
     }
 
-    pub(super) fn report(&self, now: Timestamp) -> HoldReport {
+    pub(super) fn report(&self, now: Timestamp) -> RenewReport {
         let running = self.runs.iter().map(|(run, sim)| RunningRow {
             run: *run,
             percent: sim.percent(now),
         });
-        HoldReport {
+        RenewReport {
             clock_ms: self.clock_ms(now),
             born_unix_ms: self.listed.born_unix_ms,
             running: running.collect(),
@@ -253,7 +253,7 @@
         self.runs.clear();
         self.ended.clear();
         self.newest_ended.clear();
-        self.holds.clear();
+        self.renews.clear();
         self.next_end = 1;
         self.fence = 0;
         self.lease_until = Timestamp::ZERO;
