--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -219,7 +219,7 @@
         }
         upstream.listed = listed.clone();
         if upstream.born_unix_ms.is_some() && listed.born_unix_ms > upstream.born_unix_ms {
-            self.begin_life(key, listed.born_unix_ms);
+            self.begin_incarnation(key, listed.born_unix_ms);
             self.renew(now, key);
         }
     }
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -224,7 +224,7 @@
                 self.requeue(leased.task, None);
                 self.lose_to_newer_owner(now, on);
             }
-            Some(OrderRefusal::OtherLife) => {
+            Some(OrderRefusal::OtherIncarnation) => {
                 self.requeue(leased.task, None);
                 self.lose_upstream(now, on);
             }
@@ -250,7 +250,7 @@
             OrderAnswer::Done { .. } => self.stop_acknowledged(now, on, run),
             OrderAnswer::Refused { refusal, .. } => match refusal {
                 OrderRefusal::Fence => self.lose_to_newer_owner(now, on),
-                OrderRefusal::OtherLife => self.lose_upstream(now, on),
+                OrderRefusal::OtherIncarnation => self.lose_upstream(now, on),
                 _ => self.stop_later(now, on, run),
             },
             _ => self.stop_later(now, on, run),
@@ -352,7 +352,7 @@
     fn renew_refused(&mut self, now: Timestamp, on: LeasedUpstreamKey, refusal: OrderRefusal) {
         match refusal {
             OrderRefusal::Fence => self.lose_to_newer_owner(now, on),
-            OrderRefusal::OtherLife => self.lose_upstream(now, on),
+            OrderRefusal::OtherIncarnation => self.lose_upstream(now, on),
             _ => {
                 let id = &self.upstreams[on].listed.id;
                 tracing::warn!(upstream = %id, %refusal, "hold refused");
@@ -417,7 +417,7 @@
         let upstream = &mut self.upstreams[on];
         let first = upstream.contact == Contact::Taking;
         if upstream.born_unix_ms.is_some() && report.born_unix_ms != upstream.born_unix_ms {
-            self.begin_life(on, report.born_unix_ms);
+            self.begin_incarnation(on, report.born_unix_ms);
         }
         let upstream = &mut self.upstreams[on];
         upstream.born_unix_ms = report.born_unix_ms.or(upstream.born_unix_ms);
@@ -750,7 +750,7 @@
     ///
     /// Nothing of before runs there, but a start may have reached the new life: what its next
     /// list does not name is lost.
-    pub(crate) fn begin_life(&mut self, on: LeasedUpstreamKey, born_unix_ms: Option<u64>) {
+    pub(crate) fn begin_incarnation(&mut self, on: LeasedUpstreamKey, born_unix_ms: Option<u64>) {
         let upstream = &mut self.upstreams[on];
         let id = &upstream.listed.id;
         tracing::warn!(upstream = %id, ?born_unix_ms, "upstream lives another life");
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -95,7 +95,7 @@
     NoRoom,
     /// The upstream lives another life now.
     #[display("other_life")]
-    OtherLife,
+    OtherIncarnation,
     /// The upstream is not well and did nothing.
     #[display("unhealthy")]
     Unhealthy,
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -144,7 +144,7 @@
 /// Guards against a lease of an upstream's former life, whose clock was ahead, that keeps a run
 /// which can no longer be reached from starting over.
 #[test]
-fn run_in_the_next_life_of_an_upstream_is_lost_with_its_lease() {
+fn run_in_the_next_incarnation_of_an_upstream_is_lost_with_its_lease() {
     let mut site = RunSite::start(&SitePlan::new(1, 1, 2));
     site.set_caller_wait(Some(Duration::from_millis(6_000)));
     site.run_ms(1_000);
--- a/lib/tests/resent_messages.rs
+++ b/lib/tests/resent_messages.rs
@@ -19,8 +19,8 @@
 
 const PEER: &str = "entry-b";
 const OWN: Incarnation = Incarnation(1);
-const EARLIER_LIFE: Incarnation = Incarnation(2);
-const LIFE: Incarnation = Incarnation(3);
+const EARLIER_INCARNATION: Incarnation = Incarnation(2);
+const CURRENT_INCARNATION: Incarnation = Incarnation(3);
 
 #[derive(Debug)]
 struct NoDecoder;
@@ -53,7 +53,7 @@
     let mut instance = RunDispatcher::new(settings, Box::new(NoDecoder));
     let roster = Roster {
         version: 1,
-        members: vec![member("entry-a", OWN), member(PEER, LIFE)],
+        members: vec![member("entry-a", OWN), member(PEER, CURRENT_INCARNATION)],
     };
     let event = RunEvent::RosterRead(roster);
     instance.handle(Timestamp::ZERO, event, &mut Vec::new());
@@ -87,11 +87,11 @@
 
 #[test]
 fn message_to_a_living_process_is_sent_again() {
-    assert_eq!(resent_to(LIFE), [LIFE]);
+    assert_eq!(resent_to(CURRENT_INCARNATION), [CURRENT_INCARNATION]);
 }
 
 /// Guards against a message to an earlier life of an instance that is sent again to the next one.
 #[test]
-fn message_to_an_earlier_life_is_not_sent_to_the_next() {
-    assert_eq!(resent_to(EARLIER_LIFE), []);
+fn message_to_an_earlier_incarnation_is_not_sent_to_the_next() {
+    assert_eq!(resent_to(EARLIER_INCARNATION), []);
 }
--- a/lib/tests/reused_names.rs
+++ b/lib/tests/reused_names.rs
@@ -55,7 +55,7 @@
 /// Guards against a batch that counts as ended because a later life of its owner has taken others
 /// with higher numbers, while its runs go on.
 #[test]
-fn later_life_of_an_owner_ends_no_earlier_batch() {
+fn later_incarnation_of_an_owner_ends_no_earlier_batch() {
     let mut site = started();
     // The home's own upstreams are busy first, and free when the other owner is back.
     site.submit(0, "look", "00000000000000ab", &run_job(4, 6_800, 200));
@@ -77,7 +77,7 @@
 /// Guards against what was said to an earlier life of a home, of whose batches it speaks, and that
 /// the next life takes for its own.
 #[test]
-fn word_to_an_earlier_life_of_a_home_ends_nothing_of_the_next() {
+fn message_to_an_earlier_incarnation_of_a_home_ends_nothing_of_the_next() {
     let (home, owner) = (0, 1);
     let mut site = started();
     for number in 1..=8 {
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -54,7 +54,7 @@
     attempts: u32,
     home: usize,
     /// The life of the home's process that the last attempt went to.
-    home_life: u64,
+    home_incarnation: u64,
     asked_at_ms: u64,
     resends_at_ms: Option<u64>,
     is_over: bool,
@@ -82,7 +82,7 @@
     site: RunSite,
     callers: Vec<Caller>,
     faults: Vec<(u64, Fault)>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     down: Vec<bool>,
     next_job: u64,
     caller_wait_ms: u64,
@@ -104,7 +104,7 @@
             site,
             callers: Vec::new(),
             faults: Vec::new(),
-            lives: vec![1; nodes],
+            incarnations: vec![1; nodes],
             down: vec![false; nodes],
             next_job: 1,
             caller_wait_ms,
@@ -149,7 +149,7 @@
             work_ms,
             attempts: 0,
             home: 0,
-            home_life: 0,
+            home_incarnation: 0,
             asked_at_ms: 0,
             resends_at_ms: Some(self.site.now_ms()),
             is_over: false,
@@ -176,7 +176,8 @@
         }
         let reset = self.chance(400) == 0;
         let caller = &mut self.callers[index];
-        let is_home_dead = self.lives[caller.home] != caller.home_life || self.down[caller.home];
+        let is_home_dead =
+            self.incarnations[caller.home] != caller.home_incarnation || self.down[caller.home];
         let waits_too_long = now_ms >= caller.asked_at_ms + self.caller_wait_ms;
         let asked_at = Timestamp::ZERO + Duration::from_millis(caller.asked_at_ms);
         let answer = self.site.answer(&caller.id);
@@ -207,7 +208,7 @@
         let caller = &mut self.callers[index];
         caller.attempts += 1;
         caller.home = home;
-        caller.home_life = self.lives[home];
+        caller.home_incarnation = self.incarnations[home];
         caller.asked_at_ms = self.site.now_ms();
         caller.resends_at_ms = None;
         let job = run_job(caller.tasks, 6_800, caller.work_ms);
@@ -316,7 +317,7 @@
         match is_down {
             true => self.site.kill(node),
             false => {
-                self.lives[node] += 1;
+                self.incarnations[node] += 1;
                 self.site.start_node(node);
             }
         }
--- a/lib/testsupport/src/run_site/node.rs
+++ b/lib/testsupport/src/run_site/node.rs
@@ -46,7 +46,7 @@
     pub(super) name: Arc<str>,
     pub(super) data_centre: Arc<str>,
     /// Counts the runs of its process.
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) dispatcher: Option<RunDispatcher>,
     pub(super) started_at: Timestamp,
     pub(super) is_frozen: bool,
@@ -64,7 +64,7 @@
         SimNode {
             name: Arc::from(name),
             data_centre: Arc::from(data_centre),
-            life: 0,
+            incarnation: 0,
             dispatcher: None,
             started_at: Timestamp::ZERO,
             is_frozen: false,
@@ -79,11 +79,11 @@
     pub(super) fn incarnation(&self) -> Incarnation {
         let name = self.name.bytes();
         let name = name.fold(7_u64, |sum, byte| sum.wrapping_mul(31) + u64::from(byte));
-        Incarnation(name.wrapping_mul(1_000).wrapping_add(self.life))
+        Incarnation(name.wrapping_mul(1_000).wrapping_add(self.incarnation))
     }
 
     pub(super) fn start(&mut self, now: Timestamp) {
-        self.life += 1;
+        self.incarnation += 1;
         self.started_at = now;
         self.is_leaving = false;
         self.waiting.clear();
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -115,13 +115,13 @@
 enum Happening {
     Event {
         node: usize,
-        life: u64,
+        incarnation: u64,
         event: RunEvent,
     },
     Wake(usize),
     Order {
         node: usize,
-        life: u64,
+        incarnation: u64,
         order: OrderId,
         upstream: usize,
         what: RunOrder,
@@ -129,7 +129,7 @@
     },
     OrderTimeout {
         node: usize,
-        life: u64,
+        incarnation: u64,
         order: OrderId,
     },
     Advance(usize),
@@ -380,12 +380,19 @@
             self.held_messages.entry((from, to)).or_default();
             return;
         }
-        let life = self.nodes[to].life;
+        let incarnation = self.nodes[to].incarnation;
         let held = self.held_messages.swap_remove(&(from, to));
         for HeldMessage { sender, message } in held.unwrap_or_default() {
             let event = RunEvent::PeerMessage { sender, message };
             let node = to;
-            self.at(PEER_DELAY, Happening::Event { node, life, event });
+            self.at(
+                PEER_DELAY,
+                Happening::Event {
+                    node,
+                    incarnation,
+                    event,
+                },
+            );
         }
     }
 
@@ -587,8 +594,12 @@
 
     fn happen(&mut self, happening: Happening) {
         match happening {
-            Happening::Event { node, life, event } => {
-                if self.nodes[node].life == life {
+            Happening::Event {
+                node,
+                incarnation,
+                event,
+            } => {
+                if self.nodes[node].incarnation == incarnation {
                     self.hand(node, event);
                 }
             }
@@ -600,14 +611,18 @@
             }
             Happening::Order {
                 node,
-                life,
+                incarnation,
                 order,
                 upstream,
                 what,
                 is_answered,
-            } => self.carry_out(node, life, order, upstream, &what, is_answered),
-            Happening::OrderTimeout { node, life, order } => {
-                self.answer_order(node, life, order, OrderAnswer::Lost, Duration::ZERO);
+            } => self.carry_out(node, incarnation, order, upstream, &what, is_answered),
+            Happening::OrderTimeout {
+                node,
+                incarnation,
+                order,
+            } => {
+                self.answer_order(node, incarnation, order, OrderAnswer::Lost, Duration::ZERO);
             }
             Happening::Advance(upstream) => self.advance(upstream),
             Happening::RenewWaitOver(upstream) => self.answer_renews(upstream, false),
@@ -714,12 +729,12 @@
         if self.now.since(newest) < CONNECT_TIME {
             let instance = Arc::from(to);
             let event = RunEvent::PeerNotSent { instance, message };
-            let life = self.nodes[from].life;
+            let incarnation = self.nodes[from].incarnation;
             return self.at(
                 Duration::ZERO,
                 Happening::Event {
                     node: from,
-                    life,
+                    incarnation,
                     event,
                 },
             );
@@ -733,19 +748,33 @@
             return;
         }
         let event = RunEvent::PeerMessage { sender, message };
-        let life = self.nodes[node].life;
-        self.at(PEER_DELAY, Happening::Event { node, life, event });
+        let incarnation = self.nodes[node].incarnation;
+        self.at(
+            PEER_DELAY,
+            Happening::Event {
+                node,
+                incarnation,
+                event,
+            },
+        );
     }
 
     fn give(&mut self, node: usize, order: OrderId, upstream: usize, what: RunOrder) {
         self.orders += 1;
-        let life = self.nodes[node].life;
+        let incarnation = self.nodes[node].incarnation;
         let wait = match &what {
             RunOrder::Renew { wait, .. } => *wait + RENEW_GRACE,
             _ => ORDER_TIMEOUT,
         };
-        self.waiting_orders.insert((node, life, order));
-        self.at(wait, Happening::OrderTimeout { node, life, order });
+        self.waiting_orders.insert((node, incarnation, order));
+        self.at(
+            wait,
+            Happening::OrderTimeout {
+                node,
+                incarnation,
+                order,
+            },
+        );
         let chance = self.chance(100);
         let late = u64::from(self.order_fault.late_percent);
         let unanswered = late + u64::from(self.order_fault.unanswered_percent);
@@ -760,7 +789,7 @@
         let is_answered = chance >= unanswered;
         let order = Happening::Order {
             node,
-            life,
+            incarnation,
             order,
             upstream,
             what,
@@ -772,7 +801,7 @@
     fn carry_out(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         order: OrderId,
         upstream: usize,
         what: &RunOrder,
@@ -809,7 +838,7 @@
                 if result.is_ok() && state.ended.is_empty() && !wait.is_zero() {
                     state.renews.push(WaitingRenew {
                         node,
-                        life,
+                        incarnation,
                         order,
                         until: now + *wait,
                         is_lost: !is_answered,
@@ -822,7 +851,7 @@
         };
         let answer = done.unwrap_or_else(|refusal| OrderAnswer::Refused { refusal, clock_ms });
         if is_answered && !self.is_deaf(node, upstream) {
-            self.answer_order(node, life, order, answer, ORDER_DELAY);
+            self.answer_order(node, incarnation, order, answer, ORDER_DELAY);
         }
         self.advance(upstream);
         self.answer_renews(upstream, false);
@@ -866,16 +895,23 @@
     fn answer_order(
         &mut self,
         node: usize,
-        life: u64,
+        incarnation: u64,
         order: OrderId,
         answer: OrderAnswer,
         after: Duration,
     ) {
-        if !self.waiting_orders.swap_remove(&(node, life, order)) {
+        if !self.waiting_orders.swap_remove(&(node, incarnation, order)) {
             return;
         }
         let event = RunEvent::OrderAnswered { order, answer };
-        self.at(after, Happening::Event { node, life, event });
+        self.at(
+            after,
+            Happening::Event {
+                node,
+                incarnation,
+                event,
+            },
+        );
     }
 
     /// Ends what is over at an upstream, and answers the holds that wait for it.
@@ -905,7 +941,13 @@
                 continue;
             }
             let answer = OrderAnswer::Renewed(report.clone());
-            self.answer_order(renew.node, renew.life, renew.order, answer, ORDER_DELAY);
+            self.answer_order(
+                renew.node,
+                renew.incarnation,
+                renew.order,
+                answer,
+                ORDER_DELAY,
+            );
         }
     }
 
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WaitingRenew {
     pub(super) node: usize,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) order: OrderId,
     pub(super) until: Timestamp,
     pub(super) is_lost: bool,
