--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -13,7 +13,7 @@
 const WAIT_MARGIN_DIVISOR: u32 = 4;
 
 /// How many times its deadline a job must be estimated to run before it is hopeless.
-const HOPELESS_FACTOR: u32 = 2;
+const INFEASIBLE_FACTOR: u32 = 2;
 
 /// The measured run times from which a job is held to be hopeless.
 const MIN_SAMPLES: u64 = 20;
@@ -51,7 +51,7 @@
     let wait = wait(load);
     let run = own_run(load);
     if wait.is_zero() {
-        return refuse_hopeless(load, run);
+        return refuse_infeasible(load, run);
     }
     let margin = wait / WAIT_MARGIN_DIVISOR;
     let finish = wait + margin + run;
@@ -93,9 +93,9 @@
     mean.saturating_mul(others) / slots_left(load) + longest.min(load.time_left / 2).max(mean)
 }
 
-fn refuse_hopeless(load: &AdmissionLoad, run: Duration) -> Result<(), Refusal> {
+fn refuse_infeasible(load: &AdmissionLoad, run: Duration) -> Result<(), Refusal> {
     let is_known = load.run_estimate.samples >= MIN_SAMPLES;
-    if is_known && run > load.time_left.saturating_mul(HOPELESS_FACTOR) {
+    if is_known && run > load.time_left.saturating_mul(INFEASIBLE_FACTOR) {
         return Err(overloaded(run, load.spread));
     }
     Ok(())
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -408,7 +408,7 @@
         self.jobs[key].tasks[task].start_over();
         self.is_dirty = true;
         let job = &self.jobs[key];
-        if job.is_hopeless(now, task) {
+        if job.is_infeasible(now, task) {
             self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::Deadline));
         }
     }
@@ -717,16 +717,16 @@
     }
 
     /// Gives up jobs of which a task waits that could no longer end in time.
-    pub(crate) fn end_hopeless(&mut self, now: Timestamp) {
-        let hopeless = self.jobs.iter().filter(|(_, job)| {
+    pub(crate) fn end_infeasible(&mut self, now: Timestamp) {
+        let infeasible = self.jobs.iter().filter(|(_, job)| {
             let mut tasks = (0..job.tasks.len()).filter(|task| {
                 let state = &job.tasks[*task];
                 state.state == HomeState::Waiting && state.known_run.is_some()
             });
-            tasks.any(|task| job.is_hopeless(now, task))
+            tasks.any(|task| job.is_infeasible(now, task))
         });
-        let hopeless: Vec<HomeJobKey> = hopeless.map(|(key, _)| key).collect();
-        for key in hopeless {
+        let infeasible: Vec<HomeJobKey> = infeasible.map(|(key, _)| key).collect();
+        for key in infeasible {
             self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::Deadline));
         }
     }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -149,17 +149,17 @@
     }
 
     /// Whether a task started now could no longer end before the caller leaves, which is logged.
-    pub(crate) fn is_hopeless(&self, now: Timestamp, task: usize) -> bool {
+    pub(crate) fn is_infeasible(&self, now: Timestamp, task: usize) -> bool {
         let least_run = self.least_run(task);
-        let is_hopeless = now + least_run > self.deadline;
-        if is_hopeless {
+        let is_infeasible = now + least_run > self.deadline;
+        if is_infeasible {
             tracing::info!(
                 job = %self.id, run = %self.run(task), least_run_ms = whole_ms(least_run),
                 left_ms = whole_ms(self.deadline.since(now)),
                 "task could no longer end in time"
             );
         }
-        is_hopeless
+        is_infeasible
     }
 
     /// The task as one that looks for an upstream.
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -534,7 +534,7 @@
         look: Look,
         running: &[RunningRow],
     ) {
-        let mut hopeless = Vec::new();
+        let mut infeasible = Vec::new();
         let from = self.next_order();
         let upstream = &mut self.upstreams[on];
         for row in running {
@@ -544,7 +544,7 @@
                     let deadline = leased.task.and_then(|(batch, _)| self.batches.get(batch));
                     let deadline = deadline.map(|batch| batch.deadline);
                     if let Some(reason) = reason_to_stop(leased, now, deadline) {
-                        hopeless.push((row.run, reason));
+                        infeasible.push((row.run, reason));
                     }
                 }
                 None => {
@@ -563,12 +563,12 @@
         upstream
             .unclaimed_runs
             .retain(|run, unclaimed| is_listed(run) || look.order < unclaimed.seen_before);
-        for (run, reason) in hopeless {
-            self.stop_hopeless(now, on, run, reason);
+        for (run, reason) in infeasible {
+            self.stop_infeasible(now, on, run, reason);
         }
     }
 
-    fn stop_hopeless(
+    fn stop_infeasible(
         &mut self,
         now: Timestamp,
         on: LeasedUpstreamKey,
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -360,7 +360,7 @@
                 .push(RunAction::RemoveMember { name, row_version });
         }
         self.end_unplaceable();
-        self.home.end_hopeless(self.now);
+        self.home.end_infeasible(self.now);
         self.home.mark_dirty();
         self.send_reports();
     }
--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -62,7 +62,7 @@
     fn choose(&self, task: &SeekingTask, candidates: &[RoomyUpstream]) -> Option<usize> {
         let ranked = candidates.iter().enumerate();
         // Starting where a task is known to end too late helps nobody.
-        let ranked = ranked.filter(|(_, candidate)| !task.is_hopeless_on(candidate));
+        let ranked = ranked.filter(|(_, candidate)| !task.is_infeasible_on(candidate));
         let best = ranked.min_by_key(|(_, candidate)| {
             let is_in_time = task.is_in_time(candidate);
             let speed_class = candidate.slowness_percent / SAME_SPEED_PERCENT;
@@ -85,7 +85,7 @@
 
 impl SeekingTask {
     /// Whether the task surely ends after its caller has left if it runs there.
-    fn is_hopeless_on(&self, candidate: &RoomyUpstream) -> bool {
+    fn is_infeasible_on(&self, candidate: &RoomyUpstream) -> bool {
         let run = self.expected_run * candidate.slowness_percent / 100;
         self.is_run_known && run > self.deadline_left
     }
--- a/lib/tests/calm_runs.rs
+++ b/lib/tests/calm_runs.rs
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn hopeless_job_is_given_up_by_its_progress() {
+fn infeasible_job_is_given_up_by_its_progress() {
     let mut site = started();
     let work = Duration::from_millis(4_000);
     site.submit_work(0, "look", "00000000000000b1", &run_job(1, 6_800, 600), work);
