--- a/entry/src/operator_api.rs
+++ b/entry/src/operator_api.rs
@@ -56,7 +56,8 @@
     upstreams_in_use: usize,
     ejected_upstreams: usize,
     siblings: usize,
-    siblings_heard: usize,
+    #[serde(rename = "siblings_heard")]
+    reachable_siblings: usize,
     messages: MessagesPage,
 }
 
@@ -159,7 +160,7 @@
             upstreams_in_use: status.upstreams_in_use,
             ejected_upstreams: status.ejected_upstreams,
             siblings: status.siblings,
-            siblings_heard: status.siblings_heard,
+            reachable_siblings: status.reachable_siblings,
             messages: MessagesPage {
                 attempts: messages.attempts,
                 upstream_answers: messages.upstream_answers,
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -156,7 +156,7 @@
             ("usable_upstreams", count(status.usable_upstreams)),
             ("listed_upstreams", count(status.listed_upstreams)),
             ("peers", count(status.peers)),
-            ("peers_heard", count(status.peers_heard)),
+            ("peers_heard", count(status.reachable_peers)),
         ];
         for (what, value) in readings {
             self.0.state.with_label_values(&[what]).set(value);
--- a/lib/src/accepting.rs
+++ b/lib/src/accepting.rs
@@ -109,8 +109,8 @@
             return own;
         }
         let siblings = self.siblings.iter();
-        let heard = siblings.filter(|(_, sibling)| sibling.takes_work(self.now));
-        let loads = heard.filter_map(|(_, sibling)| sibling.load(&service.name));
+        let reachable = siblings.filter(|(_, sibling)| sibling.takes_work(self.now));
+        let loads = reachable.filter_map(|(_, sibling)| sibling.load(&service.name));
         let (mut free, mut slots, mut count) = (0, 0, 0);
         for load in loads {
             free += load.free_slots;
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -258,10 +258,10 @@
                 .filter(|u| u.health.state(self.now) != HealthState::Healthy)
                 .count(),
             siblings: self.siblings.len(),
-            siblings_heard: self
+            reachable_siblings: self
                 .siblings
                 .iter()
-                .filter(|(_, sibling)| sibling.is_heard(self.now))
+                .filter(|(_, sibling)| sibling.is_reachable(self.now))
                 .count(),
             messages: self.counts,
         }
@@ -337,7 +337,7 @@
     /// Sibling entry instances known.
     pub siblings: usize,
     /// Siblings of these that spoke lately.
-    pub siblings_heard: usize,
+    pub reachable_siblings: usize,
     /// Messages sent and received, by kind.
     pub messages: MessageCounts,
 }
--- a/lib/src/forwarding.rs
+++ b/lib/src/forwarding.rs
@@ -21,7 +21,7 @@
 const FORWARD_CHECK: Duration = Duration::from_millis(500);
 
 /// How long a home may be silent before its callers are told that it cannot be reached.
-const HOME_SILENCE: Duration = Duration::from_secs(2);
+const HOME_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
     /// Hands a request to its job's home, or answers at once that the home is gone or unknown.
@@ -66,9 +66,9 @@
         };
         let instance = forward.instance.clone();
         let sibling = self.siblings.by_name(&instance);
-        let heard_at = sibling.and_then(|key| self.siblings.get(key)?.heard_at);
-        let last_sign = heard_at.unwrap_or_default().max(forward.sent_at);
-        if self.now.since(last_sign) >= HOME_SILENCE {
+        let last_contact_at = sibling.and_then(|key| self.siblings.get(key)?.last_contact_at);
+        let last_sign = last_contact_at.unwrap_or_default().max(forward.sent_at);
+        if self.now.since(last_sign) >= HOME_TIMEOUT {
             self.fail_forward(correlation, FailReason::HomeUnreachable);
             return;
         }
--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -40,7 +40,7 @@
             return;
         };
         let incarnation = sender.incarnation;
-        if self.siblings.heard(sibling, self.now, incarnation) {
+        if self.siblings.record_message(sibling, self.now, incarnation) {
             self.lose_batches(sibling);
             self.fail_forwards_of(&sender.instance, incarnation);
         }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -283,8 +283,8 @@
     fn end_task(&mut self, now: Timestamp, key: HomeJobKey, task: usize, end: RunEnd) {
         let job = &mut self.jobs[key];
         let run = job.run(task);
-        let unheard_since = job.tasks[task].may_run_unheard_since(now);
-        if let Some(since) = unheard_since.filter(|_| !matches!(end, RunEnd::Done { .. })) {
+        let unreachable_since = job.tasks[task].may_run_unreachable_since(now);
+        if let Some(since) = unreachable_since.filter(|_| !matches!(end, RunEnd::Done { .. })) {
             // What ended may be a run of an earlier attempt.
             tracing::warn!(job = %job.id, run = %run, ?end, "end is no proof while an owner is out of reach");
             self.set_orphaned(now, key, task, since, None);
@@ -463,7 +463,12 @@
     }
 
     /// Takes in that an owner is out of reach or another run of its process.
-    pub(crate) fn lose_owner(&mut self, now: Timestamp, owner: OwnerRef, last_heard: Timestamp) {
+    pub(crate) fn lose_owner(
+        &mut self,
+        now: Timestamp,
+        owner: OwnerRef,
+        last_contact_at: Timestamp,
+    ) {
         let keys: Vec<HomeJobKey> = self.jobs.keys().collect();
         for key in keys {
             let job = &self.jobs[key];
@@ -479,8 +484,8 @@
             tracing::warn!(job = %job.id, owner = self.owner_name(owner), tasks = tasks.len(), "owner out of reach");
             self.jobs[key].may_have_run = true;
             for (task, batch) in tasks {
-                self.jobs[key].tasks[task].lose_owner(owner, last_heard);
-                self.set_orphaned(now, key, task, last_heard, Some((owner, batch)));
+                self.jobs[key].tasks[task].lose_owner(owner, last_contact_at);
+                self.set_orphaned(now, key, task, last_contact_at, Some((owner, batch)));
             }
         }
         self.batches.retain(|(at, _), _| *at != owner);
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -103,7 +103,7 @@
     }
 
     /// Since when a run of this number may go on at an owner out of reach; none when none may.
-    pub(crate) fn may_run_unheard_since(&self, now: Timestamp) -> Option<Timestamp> {
+    pub(crate) fn may_run_unreachable_since(&self, now: Timestamp) -> Option<Timestamp> {
         let since = self.lost_owner?.since;
         (since + SURELY_ENDED > now).then_some(since)
     }
@@ -111,7 +111,7 @@
     /// Whether its run, which no owner in reach has, can only be on this upstream.
     pub(crate) fn is_surely_on(&self, now: Timestamp, upstream: &str) -> bool {
         matches!(self.state, HomeState::Orphaned { .. })
-            && self.may_run_unheard_since(now).is_none()
+            && self.may_run_unreachable_since(now).is_none()
             && self.handed_over_on.as_deref() == Some(upstream)
     }
 
--- a/lib/src/runs/peer_table.rs
+++ b/lib/src/runs/peer_table.rs
@@ -17,7 +17,7 @@
 use crate::time::Timestamp;
 
 /// How long an instance may say nothing before it counts as out of reach: four heartbeats.
-pub(crate) const SILENCE: Duration = Duration::from_millis(600);
+pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How old a message may be that acts on the present.
 ///
@@ -44,7 +44,7 @@
     /// Its clock, and when that reading arrived.
     clock: Option<(Timestamp, Timestamp)>,
     /// When a fresh message of it came last.
-    pub(crate) heard_at: Option<Timestamp>,
+    pub(crate) last_contact_at: Option<Timestamp>,
     pub(crate) digest: RunDigest,
     /// The last runs of its process that have ended.
     past: Vec<Incarnation>,
@@ -60,7 +60,7 @@
             unlisted_since: None,
             is_leaving: member.leaving,
             clock: None,
-            heard_at: None,
+            last_contact_at: None,
             digest: RunDigest::default(),
             past: Vec::new(),
         }
@@ -74,7 +74,7 @@
         }
         self.incarnation = incarnation;
         self.clock = None;
-        self.heard_at = None;
+        self.last_contact_at = None;
         self.digest = RunDigest::default();
     }
 
@@ -84,13 +84,14 @@
     }
 
     /// Whether a fresh message came lately.
-    pub(crate) fn is_heard(&self, now: Timestamp) -> bool {
-        self.heard_at.is_some_and(|at| now.since(at) < SILENCE)
+    pub(crate) fn is_reachable(&self, now: Timestamp) -> bool {
+        self.last_contact_at
+            .is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
     /// Whether it speaks although the roster lists it no more.
     pub(crate) fn is_back(&self, now: Timestamp) -> bool {
-        self.unlisted_since.is_some() && self.is_heard(now)
+        self.unlisted_since.is_some() && self.is_reachable(now)
     }
 
     /// What its clock shows now, as far as its messages tell.
@@ -100,7 +101,7 @@
 
     /// Its load of a service, when it takes work.
     pub(crate) fn load(&self, now: Timestamp, service: &str) -> Option<&RunLoad> {
-        if self.is_leaving || self.digest.leaving || !self.is_heard(now) {
+        if self.is_leaving || self.digest.leaving || !self.is_reachable(now) {
             return None;
         }
         let loads = self.digest.services.iter();
@@ -174,7 +175,7 @@
         let gone = self.peers.iter();
         let gone = gone.filter(|(_, peer)| {
             let unlisted = peer.unlisted_since;
-            unlisted.is_some_and(|at| now.since(at) >= REMEMBERED) && !peer.is_heard(now)
+            unlisted.is_some_and(|at| now.since(at) >= REMEMBERED) && !peer.is_reachable(now)
         });
         let gone: Vec<(PeerKey, Incarnation)> =
             gone.map(|(key, peer)| (key, peer.incarnation)).collect();
@@ -212,7 +213,7 @@
             peer.clock = Some((sent_at, now));
         }
         if is_fresh {
-            peer.heard_at = Some(now);
+            peer.last_contact_at = Some(now);
         }
         let freshness = match is_fresh {
             true => Freshness::Fresh,
--- a/lib/src/runs/requesting.rs
+++ b/lib/src/runs/requesting.rs
@@ -51,8 +51,8 @@
         }
         let own = self.home.waiting();
         let peers = self.peers.peers.values();
-        let heard = peers.filter(|peer| peer.is_heard(self.now));
-        let theirs = heard.flat_map(|peer| &peer.digest.waiting);
+        let reachable = peers.filter(|peer| peer.is_reachable(self.now));
+        let theirs = reachable.flat_map(|peer| &peer.digest.waiting);
         let of_queue = own.iter().chain(theirs);
         let of_queue = of_queue.filter(|waiting| waiting.queue == target.queue.name);
         RunAnswer::Waiting(of_queue.map(|waiting| waiting.jobs).sum())
--- a/lib/src/runs/roster_watch.rs
+++ b/lib/src/runs/roster_watch.rs
@@ -54,7 +54,7 @@
         now: Timestamp,
         own: &str,
         roster: &Roster,
-        is_heard: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
     ) -> Vec<(Arc<str>, u64)> {
         let (Some(store_since), Some(read_at)) = (self.store_since, self.read_at) else {
             return Vec::new();
@@ -67,7 +67,7 @@
         let dead = others.filter(|(name, (_, changed_at))| {
             let silent = now.since((*changed_at).max(store_since));
             let turn = REMOVAL_GAP * removal_rank(own, name, roster);
-            !is_heard(name) && silent >= DEAD_AFTER + turn
+            !is_reachable(name) && silent >= DEAD_AFTER + turn
         });
         let dead = dead.map(|(name, (version, _))| (name.clone(), *version));
         dead.collect()
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -15,8 +15,8 @@
 use super::owner::Owner;
 use super::owner::OwnerNotice;
 use super::peer_table::Freshness;
+use super::peer_table::PEER_TIMEOUT;
 use super::peer_table::PeerTable;
-use super::peer_table::SILENCE;
 use super::roster::Roster;
 use super::run_action::PeerAddress;
 use super::run_action::RunAction;
@@ -188,11 +188,11 @@
             usable_upstreams: upstreams.filter(|upstream| upstream.is_usable()).count(),
             listed_upstreams: self.listing.iter().count(),
             peers: self.peers.peers.len(),
-            peers_heard: self
+            reachable_peers: self
                 .peers
                 .peers
                 .values()
-                .filter(|peer| peer.is_heard(self.now))
+                .filter(|peer| peer.is_reachable(self.now))
                 .count(),
             counts: self.home.counts,
         }
@@ -200,10 +200,10 @@
 
     fn has_owner_in_reach(&self) -> bool {
         let peers = self.peers.peers.values();
-        let mut heard = peers.filter(|peer| peer.is_heard(self.now));
+        let mut reachable = peers.filter(|peer| peer.is_reachable(self.now));
         let mut own = self.owner.upstreams.values();
         own.any(|upstream| upstream.is_usable())
-            || heard.any(|peer| !peer.digest.services.is_empty())
+            || reachable.any(|peer| !peer.digest.services.is_empty())
     }
 
     fn run_timers(&mut self) {
@@ -349,11 +349,13 @@
         }
         self.check_peers();
         let own = self.settings.instance.clone();
-        let heard = |name: &str| {
+        let is_reachable = |name: &str| {
             let peer = self.peers.by_name(name);
-            peer.is_some_and(|peer| self.peers.peers[peer].is_heard(self.now))
+            peer.is_some_and(|peer| self.peers.peers[peer].is_reachable(self.now))
         };
-        let dead = self.roster_watch.dead(self.now, &own, &self.roster, heard);
+        let dead = self
+            .roster_watch
+            .dead(self.now, &own, &self.roster, is_reachable);
         for (name, row_version) in dead {
             tracing::warn!(instance = %name, row_version, "instance dead: removing it");
             self.actions
@@ -369,15 +371,15 @@
     fn check_peers(&mut self) {
         let now = self.now;
         let silent = self.peers.peers.iter().filter_map(|(key, peer)| {
-            let heard_at = peer.heard_at?;
-            (!peer.is_heard(now)).then_some((key, peer.incarnation, heard_at))
+            let last_contact_at = peer.last_contact_at?;
+            (!peer.is_reachable(now)).then_some((key, peer.incarnation, last_contact_at))
         });
         let silent: Vec<(PeerKey, Incarnation, Timestamp)> = silent.collect();
-        for (peer, incarnation, heard_at) in silent {
+        for (peer, incarnation, last_contact_at) in silent {
             let state = &mut self.peers.peers[peer];
-            state.heard_at = None;
+            state.last_contact_at = None;
             tracing::warn!(instance = %state.name, "instance out of reach");
-            self.lose_peer(peer, incarnation, heard_at);
+            self.lose_peer(peer, incarnation, last_contact_at);
         }
         for (peer, incarnation) in self.peers.drop_gone(now) {
             self.end_peer(peer, incarnation);
@@ -387,7 +389,7 @@
                 || self
                     .peers
                     .by_incarnation(home)
-                    .is_some_and(|key| self.peers.peers[key].is_heard(now));
+                    .is_some_and(|key| self.peers.peers[key].is_reachable(now));
             if !is_known {
                 self.owner.drop_home(now, home);
             }
@@ -400,9 +402,9 @@
         self.home.end_owner(OwnerRef::Peer(peer));
     }
 
-    fn lose_peer(&mut self, peer: PeerKey, incarnation: Incarnation, heard_at: Timestamp) {
+    fn lose_peer(&mut self, peer: PeerKey, incarnation: Incarnation, last_contact_at: Timestamp) {
         self.home
-            .lose_owner(self.now, OwnerRef::Peer(peer), heard_at);
+            .lose_owner(self.now, OwnerRef::Peer(peer), last_contact_at);
         self.owner.drop_home(self.now, incarnation);
     }
 
@@ -671,7 +673,7 @@
     /// Sends again what found no connection, while its receiver may still act on it.
     fn resend(&mut self) {
         for unsent in std::mem::take(&mut self.unsent) {
-            let is_useful = self.now.since(unsent.sent_at) < SILENCE;
+            let is_useful = self.now.since(unsent.sent_at) < PEER_TIMEOUT;
             let peer = self.peers.peers.get(unsent.peer);
             let is_same = peer.is_some_and(|peer| peer.incarnation == unsent.incarnation);
             if is_useful && is_same {
--- a/lib/src/runs/run_status.rs
+++ b/lib/src/runs/run_status.rs
@@ -30,7 +30,7 @@
     /// Other instances known.
     pub peers: usize,
     /// Those of them that spoke lately.
-    pub peers_heard: usize,
+    pub reachable_peers: usize,
     /// What its home decided.
     pub counts: RunCounts,
 }
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -18,7 +18,7 @@
 use crate::time::Timestamp;
 
 /// How long a sibling may be silent before no work is forwarded to it.
-pub(crate) const SILENCE_LIMIT: Duration = Duration::from_secs(3);
+pub(crate) const SIBLING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How many of a sibling's latest message numbers are remembered.
 const REPLAY_NUMBERS: usize = 4_096;
@@ -33,7 +33,7 @@
     pub(crate) one_way: Duration,
     /// The incarnation that sent the last message.
     pub(crate) incarnation: Option<Incarnation>,
-    pub(crate) heard_at: Option<Timestamp>,
+    pub(crate) last_contact_at: Option<Timestamp>,
     pub(crate) digest: LoadDigest,
     last_batch: u64,
     /// What its latest incarnations sent, since a late message may be of an earlier one.
@@ -62,7 +62,7 @@
             listed,
             one_way,
             incarnation: None,
-            heard_at: None,
+            last_contact_at: None,
             digest: LoadDigest::default(),
             last_batch: first_number,
             seen: IndexMap::new(),
@@ -70,14 +70,14 @@
     }
 
     /// Whether it spoke lately.
-    pub(crate) fn is_heard(&self, now: Timestamp) -> bool {
-        self.heard_at
-            .is_some_and(|heard_at| now.since(heard_at) < SILENCE_LIMIT)
+    pub(crate) fn is_reachable(&self, now: Timestamp) -> bool {
+        self.last_contact_at
+            .is_some_and(|last_contact_at| now.since(last_contact_at) < SIBLING_TIMEOUT)
     }
 
     /// Whether it may be sent work.
     pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
-        self.is_heard(now) && !self.listed.leaving && !self.digest.leaving
+        self.is_reachable(now) && !self.listed.leaving && !self.digest.leaving
     }
 
     /// Its load for a service, as last told, less what was sent since.
@@ -212,14 +212,14 @@
     }
 
     /// Notes that a message came; true when the sender restarted since its last one.
-    pub(crate) fn heard(
+    pub(crate) fn record_message(
         &mut self,
         key: SiblingKey,
         now: Timestamp,
         incarnation: Incarnation,
     ) -> bool {
         let state = &mut self.siblings[key];
-        state.heard_at = Some(now);
+        state.last_contact_at = Some(now);
         if state.incarnation == Some(incarnation) {
             return false;
         }
