--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -272,7 +272,7 @@
             let placed = HomeState::Placed { owner, batch };
             let is_orphaned = matches!(state.state, HomeState::Orphaned { from, .. } if from == Some((owner, batch)));
             if is_orphaned {
-                state.regain_owner(owner);
+                state.on_owner_reachable(owner);
             }
             if is_orphaned || state.state == placed {
                 self.end_task(now, key, task, end);
@@ -463,7 +463,7 @@
     }
 
     /// Takes in that an owner is out of reach or another run of its process.
-    pub(crate) fn lose_owner(
+    pub(crate) fn on_owner_unreachable(
         &mut self,
         now: Timestamp,
         owner: OwnerRef,
@@ -484,7 +484,7 @@
             tracing::warn!(job = %job.id, owner = self.owner_name(owner), tasks = tasks.len(), "owner out of reach");
             self.jobs[key].may_have_run = true;
             for (task, batch) in tasks {
-                self.jobs[key].tasks[task].lose_owner(owner, last_contact_at);
+                self.jobs[key].tasks[task].on_owner_unreachable(owner, last_contact_at);
                 self.set_orphaned(now, key, task, last_contact_at, Some((owner, batch)));
             }
         }
@@ -495,7 +495,7 @@
     ///
     /// The next one counts the batches that it takes anew: what it says of them is no word about
     /// those of the process before.
-    pub(crate) fn end_owner(&mut self, owner: OwnerRef) {
+    pub(crate) fn forget_owner_incarnation(&mut self, owner: OwnerRef) {
         let tasks = self.jobs.values_mut().flat_map(|job| &mut job.tasks);
         for task in tasks {
             if let HomeState::Orphaned { from, .. } = &mut task.state {
@@ -687,7 +687,7 @@
                     "owner of an adrift run heard again"
                 );
                 if is_held {
-                    job.tasks[task].regain_owner(owner);
+                    job.tasks[task].on_owner_reachable(owner);
                     job.tasks[task].state = HomeState::Placed { owner, batch };
                     let open = OpenBatch {
                         job: key,
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -29,7 +29,7 @@
     /// The upstream of its run, where an owner that lost the upstream has named it.
     pub(crate) handed_over_on: Option<Arc<str>>,
     /// The owner out of reach that may still run it.
-    pub(crate) lost_owner: Option<LostOwner>,
+    pub(crate) unreachable_owner: Option<UnreachableOwner>,
 }
 
 /// Where a task is.
@@ -62,7 +62,7 @@
 
 /// An owner that went out of reach with a run.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct LostOwner {
+pub(crate) struct UnreachableOwner {
     /// The owner; none when there were several.
     owner: Option<OwnerRef>,
     /// When it was last heard.
@@ -82,15 +82,15 @@
             avoid: Vec::new(),
             state: HomeState::Blocked,
             handed_over_on: None,
-            lost_owner: None,
+            unreachable_owner: None,
         }
     }
 
     /// Notes that an owner went out of reach that may go on with the run.
-    pub(crate) fn lose_owner(&mut self, owner: OwnerRef, since: Timestamp) {
-        let earlier = self.lost_owner.take();
+    pub(crate) fn on_owner_unreachable(&mut self, owner: OwnerRef, since: Timestamp) {
+        let earlier = self.unreachable_owner.take();
         let is_other = earlier.is_some_and(|lost| lost.owner != Some(owner));
-        self.lost_owner = Some(LostOwner {
+        self.unreachable_owner = Some(UnreachableOwner {
             owner: (!is_other).then_some(owner),
             since: earlier.map_or(since, |lost| lost.since.max(since)),
         });
@@ -98,13 +98,14 @@
     }
 
     /// Notes that an owner that went out of reach answers for the run again.
-    pub(crate) fn regain_owner(&mut self, owner: OwnerRef) {
-        self.lost_owner.take_if(|lost| lost.owner == Some(owner));
+    pub(crate) fn on_owner_reachable(&mut self, owner: OwnerRef) {
+        self.unreachable_owner
+            .take_if(|lost| lost.owner == Some(owner));
     }
 
     /// Since when a run of this number may go on at an owner out of reach; none when none may.
     pub(crate) fn may_run_unreachable_since(&self, now: Timestamp) -> Option<Timestamp> {
-        let since = self.lost_owner?.since;
+        let since = self.unreachable_owner?.since;
         (since + SURELY_ENDED > now).then_some(since)
     }
 
@@ -120,6 +121,6 @@
         self.run += 1;
         self.state = HomeState::Waiting;
         self.handed_over_on = None;
-        self.lost_owner = None;
+        self.unreachable_owner = None;
     }
 }
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -769,7 +769,7 @@
     }
 
     /// Takes in that another instance holds an upstream under this fence.
-    pub(crate) fn yield_upstream(&mut self, now: Timestamp, id: &str, fence: u64) {
+    pub(crate) fn relinquish_upstream(&mut self, now: Timestamp, id: &str, fence: u64) {
         let Some(on) = self.by_id.get(id).copied() else {
             return;
         };
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -379,7 +379,7 @@
             let state = &mut self.peers.peers[peer];
             state.last_contact_at = None;
             tracing::warn!(instance = %state.name, "instance out of reach");
-            self.lose_peer(peer, incarnation, last_contact_at);
+            self.on_peer_unreachable(peer, incarnation, last_contact_at);
         }
         for (peer, incarnation) in self.peers.drop_gone(now) {
             self.end_peer(peer, incarnation);
@@ -398,13 +398,18 @@
 
     /// Gives up what depends on a run of an instance's process that has ended.
     fn end_peer(&mut self, peer: PeerKey, incarnation: Incarnation) {
-        self.lose_peer(peer, incarnation, self.now);
-        self.home.end_owner(OwnerRef::Peer(peer));
+        self.on_peer_unreachable(peer, incarnation, self.now);
+        self.home.forget_owner_incarnation(OwnerRef::Peer(peer));
     }
 
-    fn lose_peer(&mut self, peer: PeerKey, incarnation: Incarnation, last_contact_at: Timestamp) {
+    fn on_peer_unreachable(
+        &mut self,
+        peer: PeerKey,
+        incarnation: Incarnation,
+        last_contact_at: Timestamp,
+    ) {
         self.home
-            .lose_owner(self.now, OwnerRef::Peer(peer), last_contact_at);
+            .on_owner_unreachable(self.now, OwnerRef::Peer(peer), last_contact_at);
         self.owner.drop_home(self.now, incarnation);
     }
 
@@ -582,7 +587,7 @@
                 running,
                 ended,
             } => {
-                self.owner.yield_upstream(now, &upstream, fence);
+                self.owner.relinquish_upstream(now, &upstream, fence);
                 self.home
                     .claim_found(now, owner, &upstream, &running, &ended);
             }
