--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -11,7 +11,7 @@
 use super::resources::Resources;
 use super::run_id::OrderId;
 use super::run_id::RunId;
-use super::run_order::EndedHow;
+use super::run_order::RunOutcome;
 use super::upstream_clock::UpstreamClock;
 use super::whole_ms::whole_ms;
 use crate::health::UpstreamHealth;
@@ -61,7 +61,7 @@
     pub(crate) runs: IndexMap<RunId, LeasedRun>,
     pub(crate) unclaimed_runs: IndexMap<RunId, UnclaimedRun>,
     /// The last ends of runs that this instance did not order.
-    pub(crate) found_ends: IndexMap<RunId, EndedHow>,
+    pub(crate) found_ends: IndexMap<RunId, RunOutcome>,
     pub(crate) health: UpstreamHealth,
     pub(crate) speed: LearnedSpeed,
     /// When it last listed what runs.
@@ -141,7 +141,7 @@
     }
 
     /// Remembers the end of a run that this instance did not order.
-    pub(crate) fn note_found_end(&mut self, run: RunId, how: EndedHow) {
+    pub(crate) fn note_found_end(&mut self, run: RunId, how: RunOutcome) {
         self.found_ends.insert(run, how);
         if self.found_ends.len() > MAX_FOUND_ENDS {
             self.found_ends.shift_remove_index(0);
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -35,8 +35,8 @@
 use super::run_message::RunEnd;
 use super::run_message::TaskEnd;
 use super::run_order::AddressedOrder;
-use super::run_order::EndedHow;
 use super::run_order::RunOrder;
+use super::run_order::RunOutcome;
 use super::upstream_choice::RoomyUpstream;
 use super::upstream_choice::SlowestInTime;
 use super::upstream_choice::UpstreamChoice;
@@ -336,10 +336,10 @@
         };
         let upstream_id = upstream.listed.id.clone();
         match upstream.found_ends.get(&run) {
-            Some(EndedHow::Done) => RunEnd::Done {
+            Some(RunOutcome::Done) => RunEnd::Done {
                 work: Duration::ZERO,
             },
-            Some(EndedHow::Failed) => RunEnd::Failed {
+            Some(RunOutcome::Failed) => RunEnd::Failed {
                 upstream: upstream_id,
             },
             _ => RunEnd::Lost {
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -23,12 +23,12 @@
 use super::run_message::FoundEnd;
 use super::run_message::NotStarted;
 use super::run_message::RunEnd;
-use super::run_order::EndedHow;
 use super::run_order::EndedRow;
 use super::run_order::OrderAnswer;
 use super::run_order::OrderRefusal;
 use super::run_order::RenewReport;
 use super::run_order::RunOrder;
+use super::run_order::RunOutcome;
 use super::run_order::RunningRow;
 use super::upstream_clock::UpstreamClock;
 use super::whole_ms::whole_ms;
@@ -212,7 +212,7 @@
                 self.requeue(leased.task, None);
                 self.wake_after_health(now, on);
             }
-            Some(OrderRefusal::LeaseOver) => {
+            Some(OrderRefusal::LeaseExpired) => {
                 self.requeue(leased.task, None);
                 self.probe(now, on);
             }
@@ -470,8 +470,8 @@
                 upstream.note_found_end(run, row.how);
                 found.push(FoundEnd {
                     run,
-                    done: row.how == EndedHow::Done,
-                    failed: row.how == EndedHow::Failed,
+                    done: row.how == RunOutcome::Done,
+                    failed: row.how == RunOutcome::Failed,
                 });
             }
         }
@@ -483,7 +483,7 @@
         now: Timestamp,
         on: LeasedUpstreamKey,
         run: RunId,
-        how: EndedHow,
+        how: RunOutcome,
         is_exact: bool,
     ) {
         let upstream = &mut self.upstreams[on];
@@ -498,7 +498,7 @@
             "run ended"
         );
         let end = match how {
-            EndedHow::Done => {
+            RunOutcome::Done => {
                 // Its queue is looked at again after every end, restored or not.
                 let _ = upstream.health.on_success(now);
                 let work = match is_exact {
@@ -507,20 +507,22 @@
                 };
                 RunEnd::Done { work }
             }
-            EndedHow::Failed => {
+            RunOutcome::Failed => {
                 if leased.task.is_some() {
                     self.count_failure(now, on);
                 }
                 RunEnd::Failed { upstream: id }
             }
-            EndedHow::Stopped | EndedHow::Lapsed | EndedHow::Other => match leased.foreseen_work {
-                Some(work) => RunEnd::TooSlow { work, upstream: id },
-                None => RunEnd::Lost { upstream: id },
-            },
+            RunOutcome::Stopped | RunOutcome::LeaseExpired | RunOutcome::Other => {
+                match leased.foreseen_work {
+                    Some(work) => RunEnd::TooSlow { work, upstream: id },
+                    None => RunEnd::Lost { upstream: id },
+                }
+            }
         };
         self.mark_dirty();
         if let Some((key, task)) = leased.task {
-            if how == EndedHow::Done && is_exact {
+            if how == RunOutcome::Done && is_exact {
                 self.learn_speeds(on, key, task, took);
             }
             self.report(key, task, end);
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -89,7 +89,7 @@
     OldRun,
     /// The lease that it offers is over already.
     #[display("lease_over")]
-    LeaseOver,
+    LeaseExpired,
     /// The task does not fit into what is free.
     #[display("no_room")]
     NoRoom,
@@ -136,13 +136,13 @@
     /// The run; none when the upstream names it in a way that is not ours.
     pub run: Option<RunId>,
     /// How it ended.
-    pub how: EndedHow,
+    pub how: RunOutcome,
 }
 
 /// How a run ended, as its upstream says.
 #[value]
 #[derive(Copy, derive_more::Display)]
-pub enum EndedHow {
+pub enum RunOutcome {
     /// The task is done.
     #[display("done")]
     Done,
@@ -154,7 +154,7 @@
     Stopped,
     /// Its lease ran out.
     #[display("lapsed")]
-    Lapsed,
+    LeaseExpired,
     /// It ended for another reason that is not its own.
     #[display("other")]
     Other,
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -8,10 +8,10 @@
 use almondhead_lib::runs::run_id::OrderId;
 use almondhead_lib::runs::run_id::RunId;
 use almondhead_lib::runs::run_id::TaskName;
-use almondhead_lib::runs::run_order::EndedHow;
 use almondhead_lib::runs::run_order::EndedRow;
 use almondhead_lib::runs::run_order::OrderRefusal;
 use almondhead_lib::runs::run_order::RenewReport;
+use almondhead_lib::runs::run_order::RunOutcome;
 use almondhead_lib::runs::run_order::RunningRow;
 use almondhead_lib::time::Timestamp;
 use indexmap::IndexMap;
@@ -126,7 +126,7 @@
             return Ok(());
         }
         if asked.lease_until_ms <= self.clock_ms(now) {
-            return Err(OrderRefusal::LeaseOver);
+            return Err(OrderRefusal::LeaseExpired);
         }
         self.extend_lease(now, asked.lease_until_ms);
         let newest = self.newest_ended.get(&asked.run.task);
@@ -170,12 +170,12 @@
         let newest = self.newest_ended.entry(run.task).or_default();
         *newest = (*newest).max(run.run);
         if self.runs.contains_key(&run) {
-            self.end(run, EndedHow::Stopped);
+            self.end(run, RunOutcome::Stopped);
         }
         Ok(())
     }
 
-    pub(super) fn end(&mut self, run: RunId, how: EndedHow) {
+    pub(super) fn end(&mut self, run: RunId, how: RunOutcome) {
         self.runs.swap_remove(&run);
         let newest = self.newest_ended.entry(run.task).or_default();
         *newest = (*newest).max(run.run);
@@ -222,14 +222,14 @@
         let over = self.runs.iter().filter_map(|(run, sim)| {
             if !sim.hangs && sim.ends_at <= now {
                 let how = match sim.fails {
-                    true => EndedHow::Failed,
-                    false => EndedHow::Done,
+                    true => RunOutcome::Failed,
+                    false => RunOutcome::Done,
                 };
                 return Some((*run, how));
             }
-            lapsed.then_some((*run, EndedHow::Lapsed))
+            lapsed.then_some((*run, RunOutcome::LeaseExpired))
         });
-        let over: Vec<(RunId, EndedHow)> = over.collect();
+        let over: Vec<(RunId, RunOutcome)> = over.collect();
         for (run, how) in &over {
             self.end(*run, *how);
         }
