--- a/entry/src/decision_metrics.rs
+++ b/entry/src/decision_metrics.rs
@@ -9,7 +9,7 @@
 /// The counters that follow a dispatcher's counts.
 pub(crate) struct DecisionMetrics {
     given_up: IntCounterVec,
-    started_over: IntCounterVec,
+    retried: IntCounterVec,
     found_ends: IntCounterVec,
     orphaned: IntCounter,
 }
@@ -26,7 +26,7 @@
             "Jobs given up after something of them may have run, by reason.",
             "reason",
         )?;
-        let started_over = counters(
+        let retried = counters(
             "almondhead_tasks_started_over_total",
             "Tasks that start over after a run of them, by reason.",
             "reason",
@@ -43,7 +43,7 @@
         registry.register(Box::new(orphaned.clone()))?;
         Ok(DecisionMetrics {
             given_up,
-            started_over,
+            retried,
             found_ends,
             orphaned,
         })
@@ -57,8 +57,8 @@
         for (reason, count) in counts.given_up() {
             copy(&self.given_up.with_label_values(&[reason]), count);
         }
-        for (reason, count) in counts.started_over() {
-            copy(&self.started_over.with_label_values(&[reason]), count);
+        for (reason, count) in counts.retried() {
+            copy(&self.retried.with_label_values(&[reason]), count);
         }
         for (end, count) in counts.found_ends() {
             copy(&self.found_ends.with_label_values(&[end]), count);
--- a/entry/tests/run_decisions.rs
+++ b/entry/tests/run_decisions.rs
@@ -55,9 +55,9 @@
             &lines,
             r#"almondhead_jobs_given_up_total{reason="no_time_left"} 1"#,
         );
-        let started_over = r#"almondhead_tasks_started_over_total{reason="too_slow"}"#;
+        let retried = r#"almondhead_tasks_started_over_total{reason="too_slow"}"#;
         assert!(
-            lines.iter().any(|line| line.starts_with(started_over)),
+            lines.iter().any(|line| line.starts_with(retried)),
             "{lines:?}"
         );
         Ok(())
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -303,14 +303,14 @@
             RunEnd::NotStarted(reason) => self.task_not_started(now, key, task, reason),
             RunEnd::Lost { upstream } => {
                 job.tasks[task].avoid.push(upstream);
-                self.counts.started_over_lost += 1;
-                self.start_over(now, key, task);
+                self.counts.retried_lost += 1;
+                self.retry_task(now, key, task);
             }
             RunEnd::TakenOver { upstream } => self.take_handed_over(now, key, task, upstream),
             RunEnd::TooSlow { work, upstream } => {
                 job.note_slow(task, work, upstream);
-                self.counts.started_over_too_slow += 1;
-                self.start_over(now, key, task);
+                self.counts.retried_too_slow += 1;
+                self.retry_task(now, key, task);
             }
         }
         // A step that bounds its tasks on an upstream may place the next one now.
@@ -348,8 +348,8 @@
         if state.failures >= most {
             return self.end_job(now, key, JobEnd::Failed);
         }
-        self.counts.started_over_failed += 1;
-        self.start_over(now, key, task);
+        self.counts.retried_failed += 1;
+        self.retry_task(now, key, task);
     }
 
     fn task_not_started(
@@ -404,8 +404,8 @@
     }
 
     /// Lets a task that runs no more start once more, while there is time.
-    fn start_over(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
-        self.jobs[key].tasks[task].start_over();
+    fn retry_task(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
+        self.jobs[key].tasks[task].retry();
         self.is_dirty = true;
         let job = &self.jobs[key];
         if job.is_infeasible(now, task) {
@@ -451,8 +451,8 @@
             if ended_at <= now {
                 let age_ms = whole_ms(now.since(since));
                 tracing::info!(job = %job.id, run = %job.run(task), age_ms, "adrift run is over");
-                self.counts.started_over_orphaned += 1;
-                self.start_over(now, key, task);
+                self.counts.retried_orphaned += 1;
+                self.retry_task(now, key, task);
             } else if ended_at + job.least_run(task) > job.deadline {
                 self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::OwnerLost));
             } else {
@@ -651,7 +651,7 @@
                     // The owner never took charge of what runs: it may still run.
                     self.set_orphaned(now, key, task, now, None);
                 } else {
-                    self.restart_ended(now, key, task);
+                    self.retry_ended(now, key, task);
                 }
             }
         }
@@ -696,7 +696,7 @@
                     };
                     self.batches.insert((owner, batch), open);
                 } else if batch <= highest_taken {
-                    self.restart_ended(now, key, task);
+                    self.retry_ended(now, key, task);
                 }
             }
         }
@@ -713,11 +713,11 @@
     }
 
     /// Starts a task over whose run has surely ended without word of how.
-    fn restart_ended(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
+    fn retry_ended(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
         if let Some(job) = self.jobs.get_mut(key) {
             job.may_have_run = true;
-            self.counts.started_over_not_held += 1;
-            self.start_over(now, key, task);
+            self.counts.retried_not_held += 1;
+            self.retry_task(now, key, task);
         }
     }
 
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -117,7 +117,7 @@
     }
 
     /// Lets it start once more under the next number.
-    pub(crate) fn start_over(&mut self) {
+    pub(crate) fn retry(&mut self) {
         self.run += 1;
         self.state = HomeState::Waiting;
         self.handed_over_on = None;
--- a/lib/src/runs/run_counts.rs
+++ b/lib/src/runs/run_counts.rs
@@ -12,11 +12,11 @@
     given_up_owner_lost: u64,
     given_up_caller_left: u64,
     given_up_stopping: u64,
-    pub(crate) started_over_lost: u64,
-    pub(crate) started_over_too_slow: u64,
-    pub(crate) started_over_failed: u64,
-    pub(crate) started_over_not_held: u64,
-    pub(crate) started_over_orphaned: u64,
+    pub(crate) retried_lost: u64,
+    pub(crate) retried_too_slow: u64,
+    pub(crate) retried_failed: u64,
+    pub(crate) retried_not_held: u64,
+    pub(crate) retried_orphaned: u64,
     found_done: u64,
     found_failed: u64,
     found_lost: u64,
@@ -59,13 +59,13 @@
     }
 
     /// The tasks started over, by reason.
-    pub fn started_over(&self) -> [(&'static str, u64); 5] {
+    pub fn retried(&self) -> [(&'static str, u64); 5] {
         [
-            ("lost", self.started_over_lost),
-            ("too_slow", self.started_over_too_slow),
-            ("failed", self.started_over_failed),
-            ("not_held", self.started_over_not_held),
-            ("adrift_over", self.started_over_orphaned),
+            ("lost", self.retried_lost),
+            ("too_slow", self.retried_too_slow),
+            ("failed", self.retried_failed),
+            ("not_held", self.retried_not_held),
+            ("adrift_over", self.retried_orphaned),
         ]
     }
 
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn run_on_an_upstream_that_became_slow_starts_over() {
+fn run_on_an_upstream_that_became_slow_is_retried() {
     let mut site = started(1);
     // One upstream in six, as on the sites' days.
     for upstream in 0..2 {
@@ -167,7 +167,7 @@
 /// Guards against runs of an upstream that is listed as started again, and out of reach since, that
 /// never count as over.
 #[test]
-fn runs_of_an_upstream_lost_with_its_restart_start_over() {
+fn runs_of_an_upstream_lost_with_its_restart_are_retried() {
     let mut site = RunSite::start(&SitePlan::new(2, 1, 2));
     site.run_ms(1_000);
     site.set_caller_wait(Some(Duration::from_millis(6_000)));
