--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -169,7 +169,7 @@
             deadline_left_us: to_us(batch.deadline_left),
             demands: batch.demands.into_iter().map(Into::into).collect(),
             tasks: batch.tasks.into_iter().map(Into::into).collect(),
-            is_begun: batch.is_begun,
+            is_begun: batch.has_begun,
         }
     }
 }
@@ -188,7 +188,7 @@
             deadline_left: Duration::from_micros(batch.deadline_left_us),
             demands: decode_list("run_batch.demands", batch.demands, MAX_TASKS)?,
             tasks: decode_list("run_batch.tasks", batch.tasks, MAX_TASKS)?,
-            is_begun: batch.is_begun,
+            has_begun: batch.is_begun,
         })
     }
 }
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -35,7 +35,7 @@
     pub(crate) tasks: Vec<HeldTask>,
     pub(crate) open_tasks: usize,
     /// Whether a task of the job runs or has run, as far as is known here.
-    pub(crate) is_begun: bool,
+    pub(crate) has_begun: bool,
     pub(crate) unreported: Vec<TaskEnd>,
     pub(crate) done_runs: Vec<DoneRun>,
 }
@@ -95,7 +95,7 @@
             demands: batch.demands,
             open_tasks: tasks.len(),
             tasks,
-            is_begun: batch.is_begun,
+            has_begun: batch.has_begun,
             unreported: Vec::new(),
             done_runs: Vec::new(),
         })
@@ -145,7 +145,7 @@
     /// beyond their objectives too; refused, their callers know sooner and may come back.
     pub(crate) fn waits_until(&self, task: TaskIndex) -> Timestamp {
         let start_by = self.start_by(task);
-        match self.is_begun {
+        match self.has_begun {
             true => start_by,
             false => start_by.min(self.objective_at()),
         }
--- a/lib/src/runs/held_queue.rs
+++ b/lib/src/runs/held_queue.rs
@@ -16,7 +16,7 @@
     /// The rank of the queue, zero first.
     pub(crate) priority: u32,
     /// Whether other tasks of the job run or have run.
-    pub(crate) is_begun: bool,
+    pub(crate) has_begun: bool,
 }
 
 /// A place in the order; the least starts first.
@@ -45,7 +45,7 @@
     fn rank(&self, now: Timestamp, task: &QueuedView) -> QueueRank {
         let now_us = i64::try_from(now.as_us()).unwrap_or(i64::MAX);
         let start_by_us = task.objective_at_us.saturating_sub(task.expected_run_us);
-        if task.is_begun || start_by_us >= now_us {
+        if task.has_begun || start_by_us >= now_us {
             return QueueRank {
                 class: 0,
                 by_us: start_by_us,
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -213,7 +213,7 @@
             open_tasks: tasks.len(),
             tasks,
             may_have_run: false,
-            is_begun: false,
+            has_begun: false,
             ending: None,
             placements: 0,
             no_owner_since: None,
@@ -397,7 +397,7 @@
         for task in &mut job.tasks {
             if task.state == HomeState::Overdue {
                 task.state = HomeState::Waiting;
-                job.is_begun = true;
+                job.has_begun = true;
                 self.is_dirty = true;
             }
         }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -41,7 +41,7 @@
     /// Whether some run may have started.
     pub(crate) may_have_run: bool,
     /// Whether a task was placed where it could start at once.
-    pub(crate) is_begun: bool,
+    pub(crate) has_begun: bool,
     /// Why it will end unfinished, once that is known.
     pub(crate) ending: Option<NotRun>,
     pub(crate) placements: u32,
@@ -216,7 +216,7 @@
             deadline_left: self.deadline.since(now),
             demands: demands.collect(),
             tasks: placed.collect(),
-            is_begun: self.is_begun || self.may_have_run,
+            has_begun: self.has_begun || self.may_have_run,
         }
     }
 }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -668,7 +668,7 @@
         let spec = batch.spec.clone();
         let waited_ms = whole_ms(now.since(batch.taken_at));
         batch.tasks[task].state = HeldState::Running(on);
-        batch.is_begun = true;
+        batch.has_begun = true;
         let lease = self.lease;
         let upstream = &mut self.upstreams[on];
         let expected = expected.mul_f64(upstream.speed.slowness());
@@ -864,6 +864,6 @@
         expected_run_us: i64::try_from(expected_us).unwrap_or(i64::MAX),
         taken_at: batch.taken_at,
         priority: batch.priority,
-        is_begun: batch.is_begun,
+        has_begun: batch.has_begun,
     }
 }
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -110,7 +110,7 @@
     reaches: &mut [StepReach],
 ) {
     let job = &home.jobs[key];
-    let mut is_begun = job.is_begun;
+    let mut has_begun = job.has_begun;
     let mut chosen: IndexMap<OwnerRef, Vec<usize>> = IndexMap::new();
     for (index, task) in job.tasks.iter().enumerate() {
         if task.state != HomeState::Waiting {
@@ -121,11 +121,11 @@
         let seeking = job.seeking(now, index);
         if let Some(choice) = choose_owner(views, room, &seeking, &task.avoid, &mut reaches[step]) {
             let owner = views[choice.view].owner;
-            is_begun |= choice.has_room;
+            has_begun |= choice.has_room;
             chosen.entry(owner).or_default().push(index);
         }
     }
-    home.jobs[key].is_begun = is_begun;
+    home.jobs[key].has_begun = has_begun;
     for (owner, tasks) in chosen {
         let batch = home.batch_of(now, key, owner, &tasks);
         tracing::info!(
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -114,7 +114,7 @@
     /// The tasks.
     pub tasks: Vec<PlacedTask>,
     /// Whether other tasks of the job run or have run.
-    pub is_begun: bool,
+    pub has_begun: bool,
 }
 
 /// What the tasks of one step need.
