--- a/entry/src/submission_body.rs
+++ b/entry/src/submission_body.rs
@@ -35,7 +35,7 @@
             memory_mib: need(&mut needs_fields, "memory_mib"),
             accelerators: need(&mut needs_fields, "accelerators"),
         },
-        declared_run: time(&mut fields, "declared_run_ms"),
+        declared_run_time: time(&mut fields, "declared_run_ms"),
         inputs: inputs(&mut fields, body, max_tasks),
         traceparent,
     };
--- a/lib/benches/dispatcher.rs
+++ b/lib/benches/dispatcher.rs
@@ -119,7 +119,7 @@
         timeout: None,
         idempotent: false,
         needs: Needs::default(),
-        declared_run: None,
+        declared_run_time: None,
         inputs: vec![Bytes::from_static(b"{\"run_ms\":1}"); tasks],
         traceparent: None,
     }
--- a/lib/examples/state_costs.rs
+++ b/lib/examples/state_costs.rs
@@ -139,7 +139,7 @@
                 timeout: None,
                 idempotent: false,
                 needs: Needs::default(),
-                declared_run: None,
+                declared_run_time: None,
                 inputs: inputs.collect(),
                 traceparent: None,
             };
--- a/lib/src/accepting.rs
+++ b/lib/src/accepting.rs
@@ -85,7 +85,7 @@
             running: service.running,
             slots,
             slots_taken: outlook.slots_taken,
-            run_estimate: service.estimate.reading(submission.declared_run),
+            run_estimate: service.estimate.reading(submission.declared_run_time),
             time_left: accepted.deadline.since(self.now),
             max_queued_tasks: self.plan.document.policies.max_queued_tasks,
             spread: u32::try_from(self.next_job & 0xffff).unwrap_or_default(),
--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -198,7 +198,7 @@
             timeout: Some(batch.time_left),
             idempotent: false,
             needs: batch.needs,
-            declared_run: None,
+            declared_run_time: None,
             inputs: Vec::new(),
             traceparent: batch.traceparent,
         };
--- a/lib/src/claiming.rs
+++ b/lib/src/claiming.rs
@@ -157,7 +157,7 @@
             timeout: Some(job.deadline.since(self.now)),
             idempotent: job.idempotent,
             needs: job.needs,
-            declared_run: job.declared_run,
+            declared_run_time: job.declared_run_time,
             inputs: job.tasks.iter().map(|task| task.input.clone()).collect(),
             traceparent: job.traceparent.clone(),
         }
--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -49,7 +49,7 @@
 
 fn refuse_late(load: &AdmissionLoad) -> Result<(), Refusal> {
     let wait = wait(load);
-    let run = own_run(load);
+    let run = own_run_time(load);
     if wait.is_zero() {
         return refuse_infeasible(load, run);
     }
@@ -86,7 +86,7 @@
 ///
 /// A task of high run time may be among them, which is allowed for in up to half the time left: a
 /// job that has less time takes that risk even when nobody waits.
-fn own_run(load: &AdmissionLoad) -> Duration {
+fn own_run_time(load: &AdmissionLoad) -> Duration {
     let mean = load.run_estimate.mean;
     let others = load.tasks.saturating_sub(1);
     let longest = load.run_estimate.longest_of(load.tasks);
--- a/lib/src/job.rs
+++ b/lib/src/job.rs
@@ -101,7 +101,7 @@
     pub(crate) needs: Needs,
     pub(crate) idempotent: bool,
     /// The run time that the caller declared for one task.
-    pub(crate) declared_run: Option<Duration>,
+    pub(crate) declared_run_time: Option<Duration>,
     pub(crate) traceparent: Option<Arc<str>>,
     pub(crate) deadline: Timestamp,
     pub(crate) deadline_timer: TimerKey,
--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -198,8 +198,8 @@
         proto::StepDemand {
             step: demand.step,
             room: Some(demand.room.into()),
-            expected_run_us: to_us(demand.expected_run),
-            declared_run_us: to_us(demand.declared_run),
+            expected_run_us: to_us(demand.expected_run_time),
+            declared_run_us: to_us(demand.declared_run_time),
             required_label: demand.required_label.map(|label| label.to_string()),
             data_rack: demand.data_rack.map(|rack| rack.to_string()),
             most_per_upstream: demand.most_per_upstream,
@@ -214,8 +214,8 @@
         Ok(StepDemand {
             step: demand.step,
             room: required("run_batch.demands.room", demand.room)?.into(),
-            expected_run: Duration::from_micros(demand.expected_run_us),
-            declared_run: Duration::from_micros(demand.declared_run_us),
+            expected_run_time: Duration::from_micros(demand.expected_run_us),
+            declared_run_time: Duration::from_micros(demand.declared_run_us),
             required_label: optional_name("run_batch.demands.label", demand.required_label)?,
             data_rack: optional_name("run_batch.demands.data_rack", demand.data_rack)?,
             most_per_upstream: demand.most_per_upstream,
@@ -229,7 +229,7 @@
             step: task.step,
             index: task.index,
             run: task.run,
-            known_run_us: task.known_run.map(to_us),
+            known_run_us: task.known_run_time.map(to_us),
             avoid: task.avoid.iter().map(ToString::to_string).collect(),
         }
     }
@@ -246,7 +246,7 @@
             step: task.step,
             index: task.index,
             run: task.run,
-            known_run: task.known_run_us.map(Duration::from_micros),
+            known_run_time: task.known_run_us.map(Duration::from_micros),
             avoid: avoid.collect::<Result<_, _>>()?,
         })
     }
--- a/lib/src/peer_codec/submission.rs
+++ b/lib/src/peer_codec/submission.rs
@@ -21,7 +21,7 @@
             timeout_us: submission.timeout.map(to_us),
             idempotent: submission.idempotent,
             needs: Some(submission.needs.into()),
-            declared_run_us: submission.declared_run.map(to_us),
+            declared_run_us: submission.declared_run_time.map(to_us),
             inputs: submission.inputs,
             traceparent: submission.traceparent.map(|text| text.to_string()),
         }
@@ -38,7 +38,7 @@
             timeout: submission.timeout_us.map(Duration::from_micros),
             idempotent: submission.idempotent,
             needs: required("submission.needs", submission.needs)?.into(),
-            declared_run: submission.declared_run_us.map(Duration::from_micros),
+            declared_run_time: submission.declared_run_us.map(Duration::from_micros),
             inputs: bounded("submission.inputs", submission.inputs, MAX_TASKS)?,
             traceparent: optional_name("submission.traceparent", submission.traceparent)?,
         })
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -52,7 +52,7 @@
         let wait = wait
             .or(queue.timeout)
             .unwrap_or(self.settings.limits.default_timeout);
-        let expected = self.home.expected_runs(&queue.name, &spec);
+        let expected = self.home.expected_run_times(&queue.name, &spec);
         let objective = objective(queue, &spec, &expected).min(wait);
         if self.home.is_over_by(self.now + objective) {
             return Some(not_run(NotRun::Stopping, Some(MIN_RETRY_AFTER)));
@@ -100,7 +100,7 @@
         let mut reach = StepReach::default();
         for _ in 0..step.tasks {
             let seeking = SeekingTask {
-                expected_run: *run,
+                expected_run_time: *run,
                 is_run_known: false,
                 objective_left: wait,
                 deadline_left: wait,
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -107,16 +107,16 @@
     }
 
     /// How long a task is expected to run on an upstream of usual speed.
-    pub(crate) fn expected_run(&self, task: TaskIndex) -> Duration {
-        let known = self.tasks[task].placed.known_run;
-        known.unwrap_or(self.demand(task).expected_run)
+    pub(crate) fn expected_run_time(&self, task: TaskIndex) -> Duration {
+        let known = self.tasks[task].placed.known_run_time;
+        known.unwrap_or(self.demand(task).expected_run_time)
     }
 
     /// A task as one that looks for an upstream.
     pub(crate) fn seeking(&self, now: Timestamp, task: TaskIndex) -> SeekingTask {
         SeekingTask {
-            expected_run: self.expected_run(task),
-            is_run_known: self.tasks[task].placed.known_run.is_some(),
+            expected_run_time: self.expected_run_time(task),
+            is_run_known: self.tasks[task].placed.known_run_time.is_some(),
             objective_left: self.objective_left(now),
             deadline_left: self.deadline.since(now),
         }
@@ -130,11 +130,11 @@
     /// The latest time at which a task may start and still end before its caller leaves.
     pub(crate) fn start_by(&self, task: TaskIndex) -> Timestamp {
         let left = self.deadline.since(Timestamp::ZERO);
-        let share = match self.tasks[task].placed.known_run {
+        let share = match self.tasks[task].placed.known_run_time {
             Some(_) => LEAST_KNOWN_RUN,
             None => LEAST_RUN,
         };
-        let least = self.expected_run(task).mul_f64(share);
+        let least = self.expected_run_time(task).mul_f64(share);
         Timestamp::ZERO + left.saturating_sub(least)
     }
 
@@ -167,7 +167,7 @@
     /// The expected work of a task in milliseconds of one core.
     pub(crate) fn core_ms(&self, task: TaskIndex) -> u64 {
         let demand = self.demand(task);
-        core_ms(demand.room.cpu_millicores, self.expected_run(task))
+        core_ms(demand.room.cpu_millicores, self.expected_run_time(task))
     }
 }
 
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -169,10 +169,10 @@
     }
 
     /// The expected run times of a job's tasks, by step.
-    pub(crate) fn expected_runs(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
+    pub(crate) fn expected_run_times(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
         let estimate = self.estimates.get(queue);
         let expected = spec.steps.iter().map(|step| {
-            let declared = Some(step.declared_run).filter(|run| !run.is_zero());
+            let declared = Some(step.declared_run_time).filter(|run| !run.is_zero());
             match estimate {
                 Some(estimate) => estimate.reading(declared).mean,
                 None => RunEstimate::default().reading(declared).mean,
@@ -187,7 +187,7 @@
         now: Timestamp,
         request: RequestId,
         new: NewJob,
-        expected_runs: Vec<Duration>,
+        expected_run_times: Vec<Duration>,
     ) {
         let NewJob {
             id,
@@ -195,7 +195,7 @@
             spec,
             wait,
         } = new;
-        let objective = objective(&queue, &spec, &expected_runs);
+        let objective = objective(&queue, &spec, &expected_run_times);
         let deadline = now + wait.saturating_sub(ANSWER_TIME);
         let tasks = (0..)
             .zip(&spec.steps)
@@ -208,7 +208,7 @@
             // An end after the caller has left meets no objective.
             objective_at: deadline.min(now + objective),
             deadline,
-            expected_runs,
+            expected_run_times,
             open_by_step: spec.steps.iter().map(|step| step.tasks).collect(),
             open_tasks: tasks.len(),
             tasks,
@@ -324,7 +324,7 @@
         let step = job.tasks[task].step as usize;
         job.open_by_step[step] -= 1;
         job.open_tasks -= 1;
-        let declared = job.spec.steps[step].declared_run;
+        let declared = job.spec.steps[step].declared_run_time;
         let estimate = self.estimates.entry(job.queue.name.clone()).or_default();
         // An end that another owner found tells no run time.
         if !work.is_zero() {
@@ -453,7 +453,7 @@
                 tracing::info!(job = %job.id, run = %job.run(task), age_ms, "adrift run is over");
                 self.counts.retried_orphaned += 1;
                 self.retry_task(now, key, task);
-            } else if ended_at + job.least_run(task) > job.deadline {
+            } else if ended_at + job.min_run_time(task) > job.deadline {
                 self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::OwnerLost));
             } else {
                 self.timers
@@ -726,7 +726,7 @@
         let infeasible = self.jobs.iter().filter(|(_, job)| {
             let mut tasks = (0..job.tasks.len()).filter(|task| {
                 let state = &job.tasks[*task];
-                state.state == HomeState::Waiting && state.known_run.is_some()
+                state.state == HomeState::Waiting && state.known_run_time.is_some()
             });
             tasks.any(|task| job.is_infeasible(now, task))
         });
@@ -1012,16 +1012,16 @@
 pub(crate) fn objective(
     queue: &JobQueueSettings,
     spec: &JobSpec,
-    expected_runs: &[Duration],
+    expected_run_times: &[Duration],
 ) -> Duration {
-    let chain = longest_chain(spec, expected_runs);
+    let chain = longest_chain(spec, expected_run_times);
     chain * queue.stretch_percent.max(100) / 100 + queue.target_duration
 }
 
 /// The expected run time of the longest chain of steps.
-pub(crate) fn longest_chain(spec: &JobSpec, expected_runs: &[Duration]) -> Duration {
-    let mut ends: Vec<Duration> = Vec::with_capacity(expected_runs.len());
-    for (step, run) in spec.steps.iter().zip(expected_runs) {
+pub(crate) fn longest_chain(spec: &JobSpec, expected_run_times: &[Duration]) -> Duration {
+    let mut ends: Vec<Duration> = Vec::with_capacity(expected_run_times.len());
+    for (step, run) in spec.steps.iter().zip(expected_run_times) {
         let earlier = step.after.iter();
         let earlier = earlier.filter_map(|number| ends.get(*number as usize));
         let start = earlier.max().copied().unwrap_or_default();
@@ -1032,8 +1032,8 @@
 
 fn log_accepted(now: Timestamp, job: &HomeJob) {
     let step = job.spec.steps.first();
-    let declared = step.map(|step| step.declared_run).unwrap_or_default();
-    let expected = job.expected_runs.first().copied().unwrap_or_default();
+    let declared = step.map(|step| step.declared_run_time).unwrap_or_default();
+    let expected = job.expected_run_times.first().copied().unwrap_or_default();
     tracing::info!(
         job = %job.id, queue = %job.queue.name, steps = job.spec.steps.len(), tasks = job.tasks.len(),
         cpu_millicores = step.map_or(0, |step| step.room.cpu_millicores),
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -33,7 +33,7 @@
     pub(crate) objective_at: Timestamp,
     pub(crate) deadline: Timestamp,
     /// The expected run time of a task, by step.
-    pub(crate) expected_runs: Vec<Duration>,
+    pub(crate) expected_run_times: Vec<Duration>,
     /// The tasks that are not done, by step.
     pub(crate) open_by_step: Vec<u32>,
     pub(crate) tasks: Vec<HomeTask>,
@@ -93,12 +93,12 @@
     pub(crate) fn note_slow(&mut self, task: usize, work: Duration, upstream: Arc<str>) {
         let task = &mut self.tasks[task];
         task.avoid.push(upstream);
-        let expected = self.expected_runs[task.step as usize];
+        let expected = self.expected_run_times[task.step as usize];
         let is_believable = work < expected * SUSPICIOUS_FACTOR;
-        match task.suspected_run {
-            Some(suspected) => task.known_run = Some(work.min(suspected)),
-            None if is_believable => task.known_run = Some(work),
-            None => task.suspected_run = Some(work),
+        match task.suspected_run_time {
+            Some(suspected) => task.known_run_time = Some(work.min(suspected)),
+            None if is_believable => task.known_run_time = Some(work),
+            None => task.suspected_run_time = Some(work),
         }
     }
 
@@ -140,21 +140,21 @@
     }
 
     /// The time that a task started now would still need in the best case.
-    pub(crate) fn least_run(&self, task: usize) -> Duration {
+    pub(crate) fn min_run_time(&self, task: usize) -> Duration {
         let task = &self.tasks[task];
-        match task.known_run {
+        match task.known_run_time {
             Some(known) => known.mul_f64(LEAST_KNOWN_RUN),
-            None => self.expected_runs[task.step as usize].mul_f64(LEAST_RUN),
+            None => self.expected_run_times[task.step as usize].mul_f64(LEAST_RUN),
         }
     }
 
     /// Whether a task started now could no longer end before the caller leaves, which is logged.
     pub(crate) fn is_infeasible(&self, now: Timestamp, task: usize) -> bool {
-        let least_run = self.least_run(task);
-        let is_infeasible = now + least_run > self.deadline;
+        let min_run_time = self.min_run_time(task);
+        let is_infeasible = now + min_run_time > self.deadline;
         if is_infeasible {
             tracing::info!(
-                job = %self.id, run = %self.run(task), least_run_ms = whole_ms(least_run),
+                job = %self.id, run = %self.run(task), least_run_ms = whole_ms(min_run_time),
                 left_ms = whole_ms(self.deadline.since(now)),
                 "task could no longer end in time"
             );
@@ -165,10 +165,10 @@
     /// The task as one that looks for an upstream.
     pub(crate) fn seeking(&self, now: Timestamp, task: usize) -> SeekingTask {
         let task = &self.tasks[task];
-        let expected_run = self.expected_runs[task.step as usize];
+        let expected_run_time = self.expected_run_times[task.step as usize];
         SeekingTask {
-            expected_run: task.known_run.unwrap_or(expected_run),
-            is_run_known: task.known_run.is_some(),
+            expected_run_time: task.known_run_time.unwrap_or(expected_run_time),
+            is_run_known: task.known_run_time.is_some(),
             objective_left: self.objective_at.since(now),
             deadline_left: self.deadline.since(now),
         }
@@ -189,8 +189,8 @@
             StepDemand {
                 step,
                 room: spec.room,
-                expected_run: self.expected_runs[step as usize],
-                declared_run: spec.declared_run,
+                expected_run_time: self.expected_run_times[step as usize],
+                declared_run_time: spec.declared_run_time,
                 required_label: spec.required_label.clone(),
                 data_rack: spec.data_rack.clone(),
                 most_per_upstream: spec.most_per_upstream,
@@ -202,7 +202,7 @@
                 step: state.step,
                 index: state.index,
                 run: state.run,
-                known_run: state.known_run,
+                known_run_time: state.known_run_time,
                 avoid: state.avoid.clone(),
             }
         });
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -21,9 +21,9 @@
     pub(crate) run: u32,
     pub(crate) failures: u32,
     /// Its run time on an upstream of usual speed, where its progress has shown it.
-    pub(crate) known_run: Option<Duration>,
+    pub(crate) known_run_time: Option<Duration>,
     /// What its progress on one upstream predicted, which may have been that upstream's fault.
-    pub(crate) suspected_run: Option<Duration>,
+    pub(crate) suspected_run_time: Option<Duration>,
     pub(crate) avoid: Vec<Arc<str>>,
     pub(crate) state: HomeState,
     /// The upstream of its run, where an owner that lost the upstream has named it.
@@ -77,8 +77,8 @@
             index,
             run: 1,
             failures: 0,
-            known_run: None,
-            suspected_run: None,
+            known_run_time: None,
+            suspected_run_time: None,
             avoid: Vec::new(),
             state: HomeState::Blocked,
             handed_over_on: None,
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -35,7 +35,7 @@
     /// What each task needs.
     pub room: Resources,
     /// The caller's rough figure for the run time of one task.
-    pub declared_run: Duration,
+    pub declared_run_time: Duration,
     /// The earlier steps all of whose tasks must be done first.
     pub after: Vec<u32>,
     /// A label that the upstream must have.
@@ -128,7 +128,7 @@
                 .iter()
                 .filter_map(|number| ends.get(*number as usize));
             let start = earlier.max().copied().unwrap_or_default();
-            ends.push(start + step.declared_run);
+            ends.push(start + step.declared_run_time);
         }
         ends.into_iter().max().unwrap_or_default()
     }
--- a/lib/src/runs/leased_run.rs
+++ b/lib/src/runs/leased_run.rs
@@ -38,7 +38,7 @@
     pub(crate) room: Resources,
     pub(crate) phase: RunPhase,
     pub(crate) ordered_at: Timestamp,
-    pub(crate) expected_run: Duration,
+    pub(crate) expected_run_time: Duration,
     pub(crate) percent: u8,
     pub(crate) progressed_at: Timestamp,
     /// What it would take at usual speed, when it was stopped for its progress.
@@ -96,7 +96,7 @@
     pub(crate) fn starting(
         task: (HeldBatchKey, TaskIndex),
         room: Resources,
-        expected_run: Duration,
+        expected_run_time: Duration,
         now: Timestamp,
     ) -> Self {
         LeasedRun {
@@ -105,7 +105,7 @@
             room,
             phase: RunPhase::Starting,
             ordered_at: now,
-            expected_run,
+            expected_run_time,
             percent: 0,
             progressed_at: now,
             foreseen_work: None,
@@ -129,12 +129,12 @@
             return None;
         }
         // What has not progressed since the last report is later still.
-        let at_least = self.ordered_at + self.predicted_run();
+        let at_least = self.ordered_at + self.predicted_run_time();
         Some(at_least.max(now))
     }
 
     /// How long it takes in all if it goes on as before.
-    pub(crate) fn predicted_run(&self) -> Duration {
+    pub(crate) fn predicted_run_time(&self) -> Duration {
         let elapsed = self.progressed_at.since(self.ordered_at);
         // The percentage is rounded down.
         elapsed * 100 / (u32::from(self.percent) + 1)
@@ -150,7 +150,8 @@
         };
         let left = end.since(now);
         let whole = end.since(self.ordered_at);
-        whole > self.expected_run * CRAWLING_FACTOR && left > self.expected_run + CRAWLING_LEFT
+        whole > self.expected_run_time * CRAWLING_FACTOR
+            && left > self.expected_run_time + CRAWLING_LEFT
     }
 
     /// Whether it has made no progress for longer than a sound run could.
@@ -159,7 +160,10 @@
             return false;
         };
         let since_start = now.since(self.ordered_at);
-        let overdue = since_start > self.expected_run * STALLED_RUN_FACTOR || self.percent == 0;
-        overdue && since_start > self.expected_run && now.since(self.progressed_at) >= STALLED_AFTER
+        let overdue =
+            since_start > self.expected_run_time * STALLED_RUN_FACTOR || self.percent == 0;
+        overdue
+            && since_start > self.expected_run_time
+            && now.since(self.progressed_at) >= STALLED_AFTER
     }
 }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -351,7 +351,7 @@
     fn adopt_task(&mut self, now: Timestamp, key: HeldBatchKey, task: TaskIndex, id: &str) -> bool {
         let batch = &mut self.batches[key];
         let run = batch.run(task);
-        let (room, expected_run) = (batch.demand(task).room, batch.expected_run(task));
+        let (room, expected_run_time) = (batch.demand(task).room, batch.expected_run_time(task));
         let Some(on) = self.by_id.get(id).copied() else {
             return false;
         };
@@ -360,7 +360,7 @@
             return false;
         }
         batch.tasks[task].state = HeldState::Running(on);
-        let mut leased = LeasedRun::starting((key, task), room, expected_run, now);
+        let mut leased = LeasedRun::starting((key, task), room, expected_run_time, now);
         leased.phase = RunPhase::Active {
             from: OrderId(self.next_order),
         };
@@ -664,7 +664,7 @@
         let batch = &mut self.batches[key];
         let run = batch.run(task);
         let demand = batch.demand(task);
-        let (room, expected) = (demand.room, batch.expected_run(task));
+        let (room, expected) = (demand.room, batch.expected_run_time(task));
         let spec = batch.spec.clone();
         let waited_ms = whole_ms(now.since(batch.taken_at));
         batch.tasks[task].state = HeldState::Running(on);
@@ -781,7 +781,7 @@
         for demand in &demands {
             let of_step = done_runs.iter().filter(|run| run.step == demand.step);
             let of_step: Vec<&DoneRun> = of_step.collect();
-            self.learn_from_step(demand.declared_run, &of_step);
+            self.learn_from_step(demand.declared_run_time, &of_step);
         }
     }
 
@@ -858,7 +858,7 @@
 }
 
 fn queued_view(batch: &HeldBatch, task: TaskIndex) -> QueuedView {
-    let expected_us = batch.expected_run(task).as_micros();
+    let expected_us = batch.expected_run_time(task).as_micros();
     QueuedView {
         objective_at_us: batch.objective_at_us,
         expected_run_us: i64::try_from(expected_us).unwrap_or(i64::MAX),
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -162,7 +162,7 @@
             OrderAnswer::Done { .. } | OrderAnswer::Renewed(_) => {
                 if leased.phase == RunPhase::Starting {
                     leased.phase = RunPhase::Active { from };
-                    if leased.expected_run >= LONG_RUN {
+                    if leased.expected_run_time >= LONG_RUN {
                         let probe = OwnerTimer::Probe(on);
                         self.timers.subscribe(now + FIRST_PROGRESS, probe);
                     }
@@ -494,7 +494,7 @@
         let took = now.since(leased.ordered_at);
         tracing::info!(
             job = %run.task.job, run = %run, upstream = %id, how = %how,
-            took_ms = whole_ms(took), expected_ms = whole_ms(leased.expected_run),
+            took_ms = whole_ms(took), expected_ms = whole_ms(leased.expected_run_time),
             "run ended"
         );
         let end = match how {
@@ -591,10 +591,10 @@
         let Some(leased) = upstream.runs.get_mut(&run) else {
             return;
         };
-        let predicted = leased.predicted_run();
+        let predicted = leased.predicted_run_time();
         leased.foreseen_work = Some(predicted.div_f64(upstream.speed.slowness()));
         if reason == StopReason::Crawling {
-            let expected = leased.expected_run;
+            let expected = leased.expected_run_time;
             upstream.speed.observe_crawling(expected, predicted);
         }
     }
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -125,9 +125,9 @@
     /// The room of one task.
     pub room: Resources,
     /// The expected run time of one task.
-    pub expected_run: Duration,
+    pub expected_run_time: Duration,
     /// The run time that the caller declared, zero when none.
-    pub declared_run: Duration,
+    pub declared_run_time: Duration,
     /// A label that the upstream must have.
     pub required_label: Option<Arc<str>>,
     /// The rack where the data is.
@@ -146,7 +146,7 @@
     /// The number of the start.
     pub run: u32,
     /// Its run time on an upstream of usual speed, where its progress elsewhere has shown it.
-    pub known_run: Option<Duration>,
+    pub known_run_time: Option<Duration>,
     /// Upstreams that it failed on before.
     pub avoid: Vec<Arc<str>>,
 }
--- a/lib/src/runs/spread.rs
+++ b/lib/src/runs/spread.rs
@@ -102,7 +102,7 @@
     let (view, least) = waiting.min_by_key(|(_, view)| (view.pressure(), view.distance))?;
     let wait = least.wait();
     reach.take(least.owner);
-    views[view].queued_core_ms += core_ms(room.cpu_millicores, task.expected_run);
+    views[view].queued_core_ms += core_ms(room.cpu_millicores, task.expected_run_time);
     Some(Choice {
         view,
         wait,
--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -9,7 +9,7 @@
 #[derive(Copy)]
 pub struct SeekingTask {
     /// Its expected run time on an upstream of usual speed.
-    pub expected_run: Duration,
+    pub expected_run_time: Duration,
     /// Whether that is known from its progress elsewhere, not from what was declared.
     pub is_run_known: bool,
     /// How long until its job is to end.
@@ -86,12 +86,12 @@
 impl SeekingTask {
     /// Whether the task surely ends after its caller has left if it runs there.
     fn is_infeasible_on(&self, candidate: &RoomyUpstream) -> bool {
-        let run = self.expected_run * candidate.slowness_percent / 100;
+        let run = self.expected_run_time * candidate.slowness_percent / 100;
         self.is_run_known && run > self.deadline_left
     }
 
     fn is_in_time(&self, candidate: &RoomyUpstream) -> bool {
-        let run = self.expected_run * candidate.slowness_percent / 100;
+        let run = self.expected_run_time * candidate.slowness_percent / 100;
         let safety_percent = match self.is_run_known {
             true => KNOWN_SAFETY_PERCENT,
             false => DECLARED_SAFETY_PERCENT,
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -170,7 +170,10 @@
     /// Learns from the end of an attempt, whether or not its job still waits for it.
     fn record_end(&mut self, running: &RunningAttempt, end: &AttemptEnd) {
         let took = self.now.since(running.started_at);
-        let declared = self.jobs.get(running.job).and_then(|job| job.declared_run);
+        let declared = self
+            .jobs
+            .get(running.job)
+            .and_then(|job| job.declared_run_time);
         if let Some(service) = self.plan.services.get_mut(running.service) {
             service.running -= 1;
             if matches!(end, AttemptEnd::Finished { .. }) {
--- a/lib/src/submission.rs
+++ b/lib/src/submission.rs
@@ -21,7 +21,7 @@
     /// What each task needs of its upstream.
     pub needs: Needs,
     /// The run time that the caller declares for one task.
-    pub declared_run: Option<Duration>,
+    pub declared_run_time: Option<Duration>,
     /// The input of each task.
     pub inputs: Vec<Bytes>,
     /// The W3C `traceparent` under which the job runs.
--- a/lib/src/submitting.rs
+++ b/lib/src/submitting.rs
@@ -186,7 +186,7 @@
             team: accepted.team,
             needs: submission.needs,
             idempotent: submission.idempotent,
-            declared_run: submission.declared_run,
+            declared_run_time: submission.declared_run_time,
             traceparent: submission.traceparent.clone(),
             deadline: accepted.deadline,
             deadline_timer: timers.subscribe(accepted.deadline, Timer::Deadline(key)),
--- a/lib/tests/admission_control.rs
+++ b/lib/tests/admission_control.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn declared_runs_are_bounded_before_samples() {
+fn declared_run_times_are_bounded_before_samples() {
     let cases = [
         (None, DEFAULT_RUN),
         (Some(Duration::from_millis(700)), Duration::from_millis(700)),
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn declared_runs_weigh_by_their_worth() {
+fn declared_run_times_weigh_by_their_worth() {
     // Declared exactly, ten times too high and a tenth: corrected.
     for (factor, expected_ms) in [(1.0, 100), (10.0, 10), (0.1, 1_000)] {
         let ms = learned(factor, 1.0).as_millis();
--- a/lib/tests/common/any_message.rs
+++ b/lib/tests/common/any_message.rs
@@ -130,7 +130,7 @@
         timeout: optional(g, span),
         idempotent: bool::arbitrary(g),
         needs: needs(g),
-        declared_run: optional(g, span),
+        declared_run_time: optional(g, span),
         inputs: list(g, bytes),
         traceparent: optional(g, text),
     }
--- a/lib/tests/stopping_home.rs
+++ b/lib/tests/stopping_home.rs
@@ -119,7 +119,7 @@
     let mut site = started();
     let mut job = run_job(2, 6_800, 3_200);
     let mut second = job.steps[0].clone();
-    second.declared_run = Duration::from_millis(9_000);
+    second.declared_run_time = Duration::from_millis(9_000);
     second.after = vec![0];
     job.steps.push(second);
     site.submit(LEAVING, "look", ID, &job);
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -259,7 +259,7 @@
             timeout: None,
             idempotent: false,
             needs: Needs::default(),
-            declared_run: None,
+            declared_run_time: None,
             inputs: inputs.collect(),
             traceparent: None,
         });
--- a/lib/testsupport/src/run_site/job.rs
+++ b/lib/testsupport/src/run_site/job.rs
@@ -34,7 +34,7 @@
                 memory_mb: 64,
                 accelerators: 0,
             },
-            declared_run: Duration::from_millis(run_ms),
+            declared_run_time: Duration::from_millis(run_ms),
             ..StepSpec::default()
         }],
         durable: false,
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -265,7 +265,7 @@
 
     /// Submits a job through an instance; its answer is found under `id`.
     pub fn submit(&mut self, node: usize, queue: &str, id: &str, job: &JobSpec) {
-        let work = job.steps[0].declared_run;
+        let work = job.steps[0].declared_run_time;
         self.submit_work(node, queue, id, job, work);
     }
 
