--- a/entry/src/run_api.rs
+++ b/entry/src/run_api.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use almondhead_lib::runs::event::Ask;
+use almondhead_lib::runs::event::RequestKind;
 use almondhead_lib::runs::event::RunEvent;
 use almondhead_lib::runs::run_answer::RunAnswer;
 use almondhead_platform::READY_PATH;
@@ -59,11 +59,11 @@
 async fn take(context: Arc<RunContext>, mut conn: Conn) -> Conn {
     let came_at = Instant::now();
     note_request(&conn);
-    let ask = match conn.method() {
-        Method::Get => Ask::Look,
-        Method::Delete => Ask::Cancel,
+    let kind = match conn.method() {
+        Method::Get => RequestKind::LookUp,
+        Method::Delete => RequestKind::Cancel,
         Method::Post => match read_job(&context, &mut conn).await {
-            Ok(ask) => ask,
+            Ok(kind) => kind,
             Err(refusal) => return refusal.reply(conn),
         },
         _ => return Refusal::MethodNotAllowed.reply(conn),
@@ -83,7 +83,7 @@
         request,
         host,
         path,
-        ask,
+        kind,
         wait,
     });
     let answer = conn.cancel_on_disconnect(open.answer()).await.flatten();
@@ -95,10 +95,10 @@
     reply(&context, conn, &answer)
 }
 
-async fn read_job(context: &RunContext, conn: &mut Conn) -> Result<Ask, Refusal> {
+async fn read_job(context: &RunContext, conn: &mut Conn) -> Result<RequestKind, Refusal> {
     let body = read_body(conn, &context.limits).await?;
     match decode_job(&body) {
-        Ok(job) => Ok(Ask::Submit(Arc::new(job))),
+        Ok(job) => Ok(RequestKind::Submit(Arc::new(job))),
         Err(error) => {
             tracing::warn!(path = conn.path(), %error, "request refused: its body is no job");
             Err(Refusal::field("body", "is no job"))
--- a/lib/src/runs/event.rs
+++ b/lib/src/runs/event.rs
@@ -27,7 +27,7 @@
         /// Its path.
         path: String,
         /// What it asks.
-        ask: Ask,
+        kind: RequestKind,
         /// How long its caller waits for the answer.
         wait: Option<Duration>,
     },
@@ -83,11 +83,11 @@
 
 /// What a caller asks.
 #[derive(Clone, Debug)]
-pub enum Ask {
+pub enum RequestKind {
     /// Run a job and tell how it ended.
     Submit(Arc<JobSpec>),
     /// Tell a job's state, or how many jobs of a queue wait.
-    Look,
+    LookUp,
     /// Cancel a job.
     Cancel,
 }
--- a/lib/src/runs/requesting.rs
+++ b/lib/src/runs/requesting.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::event::Ask;
+use super::event::RequestKind;
 use super::intended_state::Target;
 use super::run_answer::NotRun;
 use super::run_answer::RunAnswer;
@@ -16,7 +16,7 @@
         request: RequestId,
         host: &str,
         path: &str,
-        ask: Ask,
+        kind: RequestKind,
         wait: Option<Duration>,
     ) {
         let answer = match self.intended.clone() {
@@ -26,10 +26,10 @@
             )),
             Some(intended) => match intended.target(host, path) {
                 None => Some(RunAnswer::NoSuchQueue),
-                Some(target) => match ask {
-                    Ask::Submit(spec) => self.submit(request, &target, spec, wait),
-                    Ask::Look => Some(self.look(&target)),
-                    Ask::Cancel => Some(self.cancel(&target)),
+                Some(target) => match kind {
+                    RequestKind::Submit(spec) => self.submit(request, &target, spec, wait),
+                    RequestKind::LookUp => Some(self.look(&target)),
+                    RequestKind::Cancel => Some(self.cancel(&target)),
                 },
             },
         };
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -224,9 +224,9 @@
                 request,
                 host,
                 path,
-                ask,
+                kind,
                 wait,
-            } => self.requested(request, &host, &path, ask, wait),
+            } => self.requested(request, &host, &path, kind, wait),
             RunEvent::RequestDropped { request } => self.home.drop_request(self.now, request),
             RunEvent::IntendedRead { state, body } => self.install(state, body),
             RunEvent::UpstreamsListed(changes) => {
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -7,7 +7,7 @@
 
 use almondhead_lib::event::PeerIdentity;
 use almondhead_lib::id::RequestId;
-use almondhead_lib::runs::event::Ask;
+use almondhead_lib::runs::event::RequestKind;
 use almondhead_lib::runs::event::RunEvent;
 use almondhead_lib::runs::intended_state::IntendedState;
 use almondhead_lib::runs::intended_state::JobQueueSettings;
@@ -289,7 +289,7 @@
             request,
             host: "site.example".to_owned(),
             path: format!("/{queue}/{id}"),
-            ask: Ask::Submit(job),
+            kind: RequestKind::Submit(job),
             wait: self.caller_wait,
         };
         self.hand(node, event);
