--- a/lib/benches/admission_trial.rs
+++ b/lib/benches/admission_trial.rs
@@ -16,8 +16,8 @@
 use almondhead_lib::policies::AdmissionPolicy;
 use almondhead_lib::policies::QueuePolicy;
 use almondhead_lib::queue::JobQueue;
+use almondhead_lib::queue::QueueBacklog;
 use almondhead_lib::queue::QueueEntry;
-use almondhead_lib::queue::QueueOutlook;
 use almondhead_lib::queue::queue_for;
 use almondhead_lib::run_estimate::RunEstimate;
 use almondhead_lib::time::Timestamp;
@@ -46,7 +46,7 @@
     /// That of queued jobs that go before it.
     Before,
     /// That, and what passes it later.
-    Outlook,
+    Backlog,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -176,27 +176,27 @@
     }
 
     fn load(&mut self, tasks: u32) -> AdmissionLoad {
-        let outlook = self.queue.outlook(self.now, tasks);
-        let all = self.queue.outlook(self.now, u32::MAX).tasks_ahead;
-        let outlook = match self.row.ahead {
-            Ahead::All => QueueOutlook {
+        let backlog = self.queue.backlog(self.now, tasks);
+        let all = self.queue.backlog(self.now, u32::MAX).tasks_ahead;
+        let backlog = match self.row.ahead {
+            Ahead::All => QueueBacklog {
                 tasks_ahead: all,
                 slots_taken: 0,
             },
-            Ahead::Before => QueueOutlook {
+            Ahead::Before => QueueBacklog {
                 slots_taken: 0,
-                ..outlook
+                ..backlog
             },
-            Ahead::Outlook => outlook,
+            Ahead::Backlog => backlog,
         };
         let run_estimate = self.estimate.reading(None);
         AdmissionLoad {
             tasks,
             queued_tasks: all,
-            queued_work: run_estimate.mean * outlook.tasks_ahead,
+            queued_work: run_estimate.mean * backlog.tasks_ahead,
             running: self.running.len() as u32,
             slots: SLOTS,
-            slots_taken: outlook.slots_taken,
+            slots_taken: backlog.slots_taken,
             run_estimate,
             time_left: self.deadline,
             max_queued_tasks: self.row.max_queued_tasks,
@@ -360,7 +360,7 @@
         row(fair, length, Ahead::All, 500),
         row(fair, finish, Ahead::All, 20_000),
         row(fair, finish, Ahead::Before, 20_000),
-        row(fair, finish, Ahead::Outlook, 20_000),
+        row(fair, finish, Ahead::Backlog, 20_000),
     ]
 }
 
--- a/lib/src/accepting.rs
+++ b/lib/src/accepting.rs
@@ -77,14 +77,14 @@
         let tasks = u32::try_from(submission.inputs.len()).unwrap_or(u32::MAX);
         let slots = self.reachable_slots(accepted.service, submission.needs);
         let service = &mut self.plan.services[accepted.service];
-        let outlook = service.queue.outlook(self.now, tasks);
+        let backlog = service.queue.backlog(self.now, tasks);
         let load = AdmissionLoad {
             tasks,
             queued_tasks: service.queued_tasks,
-            queued_work: service.work_of(outlook.tasks_ahead.min(service.queued_tasks)),
+            queued_work: service.work_of(backlog.tasks_ahead.min(service.queued_tasks)),
             running: service.running,
             slots,
-            slots_taken: outlook.slots_taken,
+            slots_taken: backlog.slots_taken,
             run_estimate: service.estimate.reading(submission.declared_run_time),
             time_left: accepted.deadline.since(self.now),
             max_queued_tasks: self.plan.document.policies.max_queued_tasks,
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -21,7 +21,7 @@
     pub queued_tasks: u32,
     /// The estimated run time of the queued tasks that go before the job.
     ///
-    /// See [`crate::queue::QueueOutlook::tasks_ahead`].
+    /// See [`crate::queue::QueueBacklog::tasks_ahead`].
     pub queued_work: Duration,
     /// The tasks that run.
     pub running: u32,
@@ -29,7 +29,7 @@
     pub slots: u32,
     /// The slots of them that jobs which pass this one were served of late.
     ///
-    /// See [`crate::queue::QueueOutlook::slots_taken`]; zero when no job passes another.
+    /// See [`crate::queue::QueueBacklog::slots_taken`]; zero when no job passes another.
     pub slots_taken: u32,
     /// How long a task of the job is expected to run.
     pub run_estimate: RunEstimateReading,
--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -17,7 +17,7 @@
 use crate::outcome::AttemptEnd;
 use crate::outcome::NotStartedCause;
 use crate::outcome::UnknownCause;
-use crate::overflow::OverflowNeed;
+use crate::overflow::OverflowDemand;
 use crate::overflow::SiblingRoom;
 use crate::peer_message::BatchTask;
 use crate::peer_message::LoadDigest;
@@ -43,9 +43,9 @@
         if rooms.is_empty() {
             return;
         }
-        let need = self.overflow_need(service_key);
+        let demand = self.overflow_demand(service_key);
         let service = &mut self.plan.services[service_key];
-        for share in service.overflow.split(&need, &rooms) {
+        for share in service.overflow.split(&demand, &rooms) {
             self.forward_share(service_key, share.sibling, share.tasks);
         }
     }
@@ -67,11 +67,11 @@
         rooms.collect()
     }
 
-    fn overflow_need(&self, service_key: ServiceKey) -> OverflowNeed {
+    fn overflow_demand(&self, service_key: ServiceKey) -> OverflowDemand {
         let load = self.service_load(service_key);
         let service = &self.plan.services[service_key];
         let longest = u64::from(service.settings.max_deadline_ms);
-        OverflowNeed {
+        OverflowDemand {
             waiting_tasks: service.queued_tasks,
             own_slots: load.slots,
             own_free: load.free_slots,
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -12,8 +12,8 @@
 use crate::ordered_jobs::Place;
 use crate::ordered_jobs::PlacedJob;
 use crate::queue::JobQueue;
+use crate::queue::QueueBacklog;
 use crate::queue::QueueEntry;
-use crate::queue::QueueOutlook;
 use crate::queue::SCAN_LIMIT;
 use crate::queued_tasks::QueuedTasks;
 use crate::recent_service::RecentService;
@@ -256,11 +256,11 @@
     }
 
     /// Jobs of its size class and smaller ones go before a new job.
-    fn outlook(&mut self, now: Timestamp, tasks: u32) -> QueueOutlook {
+    fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog {
         self.decay(now);
         let class = SizeClass::of(u64::from(tasks));
         let taken = self.service.up_to_us(class) / 1e6 / USAGE_DECAY.as_secs_f64();
-        QueueOutlook {
+        QueueBacklog {
             tasks_ahead: self.tasks.up_to(class),
             slots_taken: taken as u32,
         }
--- a/lib/src/ordered_queue.rs
+++ b/lib/src/ordered_queue.rs
@@ -7,8 +7,8 @@
 use crate::ordered_jobs::OrderedJobs;
 use crate::ordered_jobs::Place;
 use crate::queue::JobQueue;
+use crate::queue::QueueBacklog;
 use crate::queue::QueueEntry;
-use crate::queue::QueueOutlook;
 use crate::queue::SCAN_LIMIT;
 use crate::queued_tasks::QueuedTasks;
 use crate::size_class::SizeClass;
@@ -87,8 +87,8 @@
 
     fn charge(&mut self, _team: TeamKey, _weight: u32, _cost: Duration) {}
 
-    fn outlook(&mut self, _now: Timestamp, _tasks: u32) -> QueueOutlook {
-        QueueOutlook {
+    fn backlog(&mut self, _now: Timestamp, _tasks: u32) -> QueueBacklog {
+        QueueBacklog {
             tasks_ahead: self.tasks.up_to(SizeClass::LAST),
             slots_taken: 0,
         }
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -13,7 +13,7 @@
 /// The tasks of one service that wait here.
 #[value]
 #[derive(Copy)]
-pub struct OverflowNeed {
+pub struct OverflowDemand {
     /// The waiting tasks that may be forwarded.
     pub waiting_tasks: u32,
     /// The slots that this entry instance owns.
@@ -28,7 +28,7 @@
     pub time_left: Duration,
 }
 
-impl OverflowNeed {
+impl OverflowDemand {
     /// How many of the waiting tasks would wait here longer than `wait`.
     ///
     /// Slots come free at an even pace; a task that may not be forwarded waits before the others.
@@ -82,7 +82,7 @@
 /// Splits waiting tasks among siblings.
 pub trait Overflow: Send + Debug {
     /// The batches to forward; together no more than the waiting tasks beyond the own free slots.
-    fn split(&mut self, need: &OverflowNeed, siblings: &[SiblingRoom]) -> Vec<OverflowShare>;
+    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare>;
 }
 
 /// The split for what the document weighs more.
--- a/lib/src/overflow_batch.rs
+++ b/lib/src/overflow_batch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::overflow::OverflowNeed;
+use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
 use crate::overflow::SiblingRoom;
 
@@ -19,18 +19,18 @@
 ///
 /// A sibling whose own tasks wait gets none, nor one whose answers would come past the deadline.
 pub(crate) fn batches(
-    need: &OverflowNeed,
+    demand: &OverflowDemand,
     siblings: &[&SiblingRoom],
     bounds: BatchBounds,
 ) -> Vec<OverflowShare> {
     let mut forwarded = 0;
     let mut shares = Vec::new();
     for sibling in siblings {
-        if sibling.queued_tasks > 0 || !need.can_finish_at(sibling) {
+        if sibling.queued_tasks > 0 || !demand.can_finish_at(sibling) {
             continue;
         }
         let least_wait = sibling.one_way * 2 + bounds.saved_wait;
-        let gaining = need.tasks_that_wait_longer_than(least_wait);
+        let gaining = demand.tasks_that_wait_longer_than(least_wait);
         let tasks = gaining.saturating_sub(forwarded).min(sibling.free_slots);
         if tasks < bounds.fewest_tasks {
             continue;
--- a/lib/src/overflow_batched.rs
+++ b/lib/src/overflow_batched.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::overflow::Overflow;
-use crate::overflow::OverflowNeed;
+use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
 use crate::overflow::SiblingRoom;
 use crate::overflow_batch::BatchBounds;
@@ -23,10 +23,10 @@
 pub struct BatchedOverflow;
 
 impl Overflow for BatchedOverflow {
-    fn split(&mut self, need: &OverflowNeed, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
+    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
         let mut roomiest: Vec<&SiblingRoom> = siblings.iter().collect();
         roomiest.sort_by_key(|sibling| (u32::MAX - sibling.free_slots, sibling.one_way));
-        let fewest_tasks = match need.own_slots {
+        let fewest_tasks = match demand.own_slots {
             0 => 1,
             _ => MIN_BATCH_TASKS,
         };
@@ -34,6 +34,6 @@
             fewest_tasks,
             saved_wait: MIN_SAVED_WAIT,
         };
-        batches(need, &roomiest, bounds)
+        batches(demand, &roomiest, bounds)
     }
 }
--- a/lib/src/overflow_eager.rs
+++ b/lib/src/overflow_eager.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::overflow::Overflow;
-use crate::overflow::OverflowNeed;
+use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
 use crate::overflow::SiblingRoom;
 use crate::overflow_batch::BatchBounds;
@@ -16,7 +16,7 @@
 pub struct EagerOverflow;
 
 impl Overflow for EagerOverflow {
-    fn split(&mut self, need: &OverflowNeed, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
+    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
         let mut nearest: Vec<&SiblingRoom> = siblings.iter().collect();
         nearest.sort_by_key(|sibling| {
             (
@@ -29,6 +29,6 @@
             fewest_tasks: 1,
             saved_wait: Duration::ZERO,
         };
-        batches(need, &nearest, bounds)
+        batches(demand, &nearest, bounds)
     }
 }
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -34,7 +34,7 @@
 /// What a new job finds before it in the queue.
 #[value]
 #[derive(Copy)]
-pub struct QueueOutlook {
+pub struct QueueBacklog {
     /// The remaining tasks of queued jobs that go before it.
     pub tasks_ahead: u32,
     /// The slots that jobs which pass it were served of late, queued ones and later arrivals.
@@ -65,7 +65,7 @@
     fn charge(&mut self, team: TeamKey, weight: u32, cost: Duration);
 
     /// What a new job of `tasks` tasks finds before it, for its admission.
-    fn outlook(&mut self, now: Timestamp, tasks: u32) -> QueueOutlook;
+    fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog;
 
     /// How many jobs are queued.
     fn jobs(&self) -> usize;
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -17,7 +17,7 @@
 use super::spread::OwnerView;
 use super::spread::choose_owner;
 use super::step_reach::StepReach;
-use super::upstream_choice::SeekingTask;
+use super::upstream_choice::PlacementRequest;
 use crate::id::RequestId;
 
 /// The shortest advice to come back later.
@@ -99,13 +99,15 @@
         }
         let mut reach = StepReach::default();
         for _ in 0..step.tasks {
-            let seeking = SeekingTask {
+            let placement_request = PlacementRequest {
                 expected_run_time: *run,
                 is_run_known: false,
                 objective_left: wait,
                 deadline_left: wait,
             };
-            if let Some(choice) = choose_owner(views, step.room, &seeking, &[], &mut reach) {
+            if let Some(choice) =
+                choose_owner(views, step.room, &placement_request, &[], &mut reach)
+            {
                 longest_wait = longest_wait.max(choice.wait);
             }
         }
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -11,7 +11,7 @@
 use super::run_message::RunBatch;
 use super::run_message::StepDemand;
 use super::run_message::TaskEnd;
-use super::upstream_choice::SeekingTask;
+use super::upstream_choice::PlacementRequest;
 use super::whole_ms::whole_ms;
 use crate::id::Incarnation;
 use crate::time::Timestamp;
@@ -113,8 +113,8 @@
     }
 
     /// A task as one that looks for an upstream.
-    pub(crate) fn seeking(&self, now: Timestamp, task: TaskIndex) -> SeekingTask {
-        SeekingTask {
+    pub(crate) fn placement_request(&self, now: Timestamp, task: TaskIndex) -> PlacementRequest {
+        PlacementRequest {
             expected_run_time: self.expected_run_time(task),
             is_run_known: self.tasks[task].placed.known_run_time.is_some(),
             objective_left: self.objective_left(now),
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -17,7 +17,7 @@
 use super::run_message::PlacedTask;
 use super::run_message::RunBatch;
 use super::run_message::StepDemand;
-use super::upstream_choice::SeekingTask;
+use super::upstream_choice::PlacementRequest;
 use super::whole_ms::whole_ms;
 use crate::id::RequestId;
 use crate::time::Timestamp;
@@ -163,10 +163,10 @@
     }
 
     /// The task as one that looks for an upstream.
-    pub(crate) fn seeking(&self, now: Timestamp, task: usize) -> SeekingTask {
+    pub(crate) fn placement_request(&self, now: Timestamp, task: usize) -> PlacementRequest {
         let task = &self.tasks[task];
         let expected_run_time = self.expected_run_times[task.step as usize];
-        SeekingTask {
+        PlacementRequest {
             expected_run_time: task.known_run_time.unwrap_or(expected_run_time),
             is_run_known: task.known_run_time.is_some(),
             objective_left: self.objective_at.since(now),
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -37,7 +37,7 @@
 use super::run_order::AddressedOrder;
 use super::run_order::RunOrder;
 use super::run_order::RunOutcome;
-use super::upstream_choice::RoomyUpstream;
+use super::upstream_choice::CandidateUpstream;
 use super::upstream_choice::SlowestInTime;
 use super::upstream_choice::UpstreamChoice;
 use super::whole_ms::whole_ms;
@@ -635,7 +635,7 @@
             }
             let rack = demand.data_rack.as_deref();
             keys.push(on);
-            candidates.push(RoomyUpstream {
+            candidates.push(CandidateUpstream {
                 avoided: avoid.contains(&upstream.listed.id),
                 far_from_data: rack.is_some_and(|rack| !upstream.listed.has_label(rack)),
                 slowness_percent: upstream.speed.slowness_percent(),
@@ -643,8 +643,8 @@
                 distance: 0,
             });
         }
-        let seeking = batch.seeking(now, task);
-        let chosen = self.choice.choose(&seeking, &candidates);
+        let placement_request = batch.placement_request(now, task);
+        let chosen = self.choice.choose(&placement_request, &candidates);
         chosen.map(|index| keys[index])
     }
 
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -118,8 +118,14 @@
         }
         let step = task.step as usize;
         let room = job.spec.steps[step].room;
-        let seeking = job.seeking(now, index);
-        if let Some(choice) = choose_owner(views, room, &seeking, &task.avoid, &mut reaches[step]) {
+        let placement_request = job.placement_request(now, index);
+        if let Some(choice) = choose_owner(
+            views,
+            room,
+            &placement_request,
+            &task.avoid,
+            &mut reaches[step],
+        ) {
             let owner = views[choice.view].owner;
             has_begun |= choice.has_room;
             chosen.entry(owner).or_default().push(index);
--- a/lib/src/runs/spread.rs
+++ b/lib/src/runs/spread.rs
@@ -10,8 +10,8 @@
 use super::run_digest::short_name;
 use super::run_id::PeerKey;
 use super::step_reach::StepReach;
-use super::upstream_choice::RoomyUpstream;
-use super::upstream_choice::SeekingTask;
+use super::upstream_choice::CandidateUpstream;
+use super::upstream_choice::PlacementRequest;
 use super::upstream_choice::SlowestInTime;
 use super::upstream_choice::UpstreamChoice;
 
@@ -79,7 +79,7 @@
 pub(crate) fn choose_owner(
     views: &mut [OwnerView],
     room: Resources,
-    task: &SeekingTask,
+    task: &PlacementRequest,
     avoid: &[Arc<str>],
     reach: &mut StepReach,
 ) -> Option<Choice> {
@@ -114,7 +114,7 @@
 fn fitting(
     views: &[OwnerView],
     room: Resources,
-    task: &SeekingTask,
+    task: &PlacementRequest,
     avoid: &[Arc<str>],
     reach: &StepReach,
 ) -> Option<(usize, usize)> {
@@ -128,7 +128,7 @@
                 continue;
             }
             places.push((index, place));
-            candidates.push(RoomyUpstream {
+            candidates.push(CandidateUpstream {
                 avoided: avoid.contains(&upstream.name),
                 far_from_data: reach.is_far_from_data(upstream.name),
                 slowness_percent: upstream.slowness_percent,
--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -7,7 +7,7 @@
 /// A task that looks for an upstream.
 #[value]
 #[derive(Copy)]
-pub struct SeekingTask {
+pub struct PlacementRequest {
     /// Its expected run time on an upstream of usual speed.
     pub expected_run_time: Duration,
     /// Whether that is known from its progress elsewhere, not from what was declared.
@@ -21,7 +21,7 @@
 /// An upstream that could take the task.
 #[value]
 #[derive(Copy)]
-pub struct RoomyUpstream {
+pub struct CandidateUpstream {
     /// Whether the task failed there before.
     pub avoided: bool,
     /// Whether the task's data is elsewhere.
@@ -37,7 +37,7 @@
 /// Chooses one of several upstreams.
 pub trait UpstreamChoice: std::fmt::Debug + Send {
     /// The index of the chosen one; none without candidates.
-    fn choose(&self, task: &SeekingTask, candidates: &[RoomyUpstream]) -> Option<usize>;
+    fn choose(&self, task: &PlacementRequest, candidates: &[CandidateUpstream]) -> Option<usize>;
 }
 
 /// How much longer than declared a task may run and must still end before its caller leaves, in
@@ -59,7 +59,7 @@
 pub struct SlowestInTime;
 
 impl UpstreamChoice for SlowestInTime {
-    fn choose(&self, task: &SeekingTask, candidates: &[RoomyUpstream]) -> Option<usize> {
+    fn choose(&self, task: &PlacementRequest, candidates: &[CandidateUpstream]) -> Option<usize> {
         let ranked = candidates.iter().enumerate();
         // Starting where a task is known to end too late helps nobody.
         let ranked = ranked.filter(|(_, candidate)| !task.is_infeasible_on(candidate));
@@ -83,14 +83,14 @@
     }
 }
 
-impl SeekingTask {
+impl PlacementRequest {
     /// Whether the task surely ends after its caller has left if it runs there.
-    fn is_infeasible_on(&self, candidate: &RoomyUpstream) -> bool {
+    fn is_infeasible_on(&self, candidate: &CandidateUpstream) -> bool {
         let run = self.expected_run_time * candidate.slowness_percent / 100;
         self.is_run_known && run > self.deadline_left
     }
 
-    fn is_in_time(&self, candidate: &RoomyUpstream) -> bool {
+    fn is_in_time(&self, candidate: &CandidateUpstream) -> bool {
         let run = self.expected_run_time * candidate.slowness_percent / 100;
         let safety_percent = match self.is_run_known {
             true => KNOWN_SAFETY_PERCENT,
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use almondhead_lib::keys::SiblingKey;
-use almondhead_lib::overflow::OverflowNeed;
+use almondhead_lib::overflow::OverflowDemand;
 use almondhead_lib::overflow::SiblingRoom;
 use almondhead_lib::overflow::overflow_for;
 use almondhead_lib::policies::Prefer;
@@ -12,8 +12,8 @@
 use rand::rngs::StdRng;
 use slotmap::SlotMap;
 
-fn need(waiting_tasks: u32) -> OverflowNeed {
-    OverflowNeed {
+fn demand(waiting_tasks: u32) -> OverflowDemand {
+    OverflowDemand {
         waiting_tasks,
         own_slots: 56,
         own_free: 0,
@@ -40,8 +40,8 @@
 }
 
 /// Tasks given to each sibling.
-fn split(prefer: Prefer, need: &OverflowNeed, siblings: &[SiblingRoom]) -> Vec<u32> {
-    let shares = overflow_for(prefer).split(need, siblings);
+fn split(prefer: Prefer, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<u32> {
+    let shares = overflow_for(prefer).split(demand, siblings);
     siblings
         .iter()
         .map(|sibling| {
@@ -57,26 +57,26 @@
 #[test]
 fn tasks_go_where_there_is_room() {
     let rooms = siblings(&[(10, 1), (5, 0), (40, 2)]);
-    let no_slots = OverflowNeed {
+    let no_slots = OverflowDemand {
         own_slots: 0,
-        ..need(7)
+        ..demand(7)
     };
-    let free = OverflowNeed {
+    let free = OverflowDemand {
         own_free: 30,
-        ..need(20)
+        ..demand(20)
     };
-    let late = OverflowNeed {
+    let late = OverflowDemand {
         time_left: Duration::from_millis(301),
-        ..need(100)
+        ..demand(100)
     };
     // One task starts here every 5.4 ms: who waits no longer than the way there and back stays.
     let cases = [
-        ("few wait", Prefer::ResponseTime, need(4), [0, 4, 0]),
-        ("many wait", Prefer::ResponseTime, need(30), [10, 5, 15]),
+        ("few wait", Prefer::ResponseTime, demand(4), [0, 4, 0]),
+        ("many wait", Prefer::ResponseTime, demand(30), [10, 5, 15]),
         (
             "more wait than fit",
             Prefer::ResponseTime,
-            need(480),
+            demand(480),
             [10, 5, 40],
         ),
         ("own slots are free", Prefer::ResponseTime, free, [0, 0, 0]),
@@ -87,12 +87,26 @@
             [0, 5, 0],
         ),
         ("no slots", Prefer::ResponseTime, no_slots, [2, 5, 0]),
-        ("small batches", Prefer::FewerMessages, need(30), [0, 0, 0]),
-        ("large batches", Prefer::FewerMessages, need(60), [0, 0, 40]),
+        (
+            "small batches",
+            Prefer::FewerMessages,
+            demand(30),
+            [0, 0, 0],
+        ),
+        (
+            "large batches",
+            Prefer::FewerMessages,
+            demand(60),
+            [0, 0, 40],
+        ),
         ("no slots", Prefer::FewerMessages, no_slots, [0, 0, 7]),
     ];
-    for (name, prefer, need, expected) in cases {
-        assert_eq!(split(prefer, &need, &rooms), expected, "{name} {prefer:?}");
+    for (name, prefer, demand, expected) in cases {
+        assert_eq!(
+            split(prefer, &demand, &rooms),
+            expected,
+            "{name} {prefer:?}"
+        );
     }
 }
 
@@ -101,7 +115,7 @@
     let mut rooms = siblings(&[(50, 1)]);
     rooms[0].queued_tasks = 1;
     for prefer in [Prefer::ResponseTime, Prefer::FewerMessages] {
-        assert_eq!(split(prefer, &need(480), &rooms), [0]);
+        assert_eq!(split(prefer, &demand(480), &rooms), [0]);
     }
 }
 
@@ -114,7 +128,7 @@
             .collect();
         let rooms = siblings(&rooms);
         let queued_tasks = rng.random_range(0..500);
-        let need = OverflowNeed {
+        let demand = OverflowDemand {
             waiting_tasks: rng.random_range(0..=queued_tasks),
             own_slots: rng.random_range(0..64),
             own_free: rng.random_range(0..10),
@@ -123,10 +137,13 @@
             time_left: Duration::from_millis(rng.random_range(0..3_000)),
         };
         for prefer in [Prefer::ResponseTime, Prefer::FewerMessages] {
-            let tasks = split(prefer, &need, &rooms);
-            assert!(tasks.iter().sum::<u32>() <= need.waiting_tasks, "{need:?}");
+            let tasks = split(prefer, &demand, &rooms);
+            assert!(
+                tasks.iter().sum::<u32>() <= demand.waiting_tasks,
+                "{demand:?}"
+            );
             for (tasks, room) in tasks.iter().zip(&rooms) {
-                assert!(*tasks <= room.free_slots, "{need:?} {room:?}");
+                assert!(*tasks <= room.free_slots, "{demand:?} {room:?}");
             }
         }
     }
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -330,7 +330,7 @@
 }
 
 #[test]
-fn outlook_counts_what_goes_before() {
+fn backlog_counts_what_goes_before() {
     // Tasks ahead of a job of 10 tasks, behind one of each size.
     let cases = [
         (QueuePolicy::FairFewestRemaining, 1 + 9),
@@ -345,18 +345,18 @@
         for entry in entries {
             queue.insert(Timestamp::ZERO, entry);
         }
-        let outlook = queue.outlook(Timestamp::ZERO, 10);
-        assert_eq!(outlook.tasks_ahead, expected, "{policy:?}");
+        let backlog = queue.backlog(Timestamp::ZERO, 10);
+        assert_eq!(backlog.tasks_ahead, expected, "{policy:?}");
         queue.update(entries[2].job, 2);
         queue.remove(entries[1].job);
-        let outlook = queue.outlook(Timestamp::ZERO, 10);
-        assert_eq!(outlook.tasks_ahead, 3, "{policy:?}");
-        assert_eq!(outlook.slots_taken, 0, "{policy:?}");
+        let backlog = queue.backlog(Timestamp::ZERO, 10);
+        assert_eq!(backlog.tasks_ahead, 3, "{policy:?}");
+        assert_eq!(backlog.slots_taken, 0, "{policy:?}");
     }
 }
 
 #[test]
-fn outlook_shows_slots_that_smaller_jobs_take() {
+fn backlog_shows_slots_that_smaller_jobs_take() {
     let mut keys = Keys::new();
     let team = keys.team();
     let mut queue = fewest_first();
@@ -368,8 +368,8 @@
         queue.charge(team, 1, Duration::from_millis(100));
     }
     let now = Timestamp::from_us(20_000_000);
-    let taken = queue.outlook(now, 100).slots_taken;
+    let taken = queue.backlog(now, 100).slots_taken;
     assert!((9..=10).contains(&taken), "{taken}");
     let later = Timestamp::from_us(30_000_000);
-    assert_eq!(queue.outlook(later, 100).slots_taken, 0);
+    assert_eq!(queue.backlog(later, 100).slots_taken, 0);
 }
