--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -18,7 +18,7 @@
 use crate::outcome::NotStartedCause;
 use crate::outcome::UnknownCause;
 use crate::overflow::OverflowDemand;
-use crate::overflow::SiblingRoom;
+use crate::overflow::SiblingCapacity;
 use crate::peer_message::BatchTask;
 use crate::peer_message::LoadDigest;
 use crate::peer_message::PeerMessage;
@@ -39,23 +39,23 @@
         if service.queued_tasks == 0 {
             return;
         }
-        let rooms = self.sibling_rooms(&service.name);
-        if rooms.is_empty() {
+        let capacities = self.sibling_capacities(&service.name);
+        if capacities.is_empty() {
             return;
         }
         let demand = self.overflow_demand(service_key);
         let service = &mut self.plan.services[service_key];
-        for share in service.overflow.split(&demand, &rooms) {
+        for share in service.overflow.split(&demand, &capacities) {
             self.forward_share(service_key, share.sibling, share.tasks);
         }
     }
 
-    fn sibling_rooms(&self, service: &str) -> Vec<SiblingRoom> {
+    fn sibling_capacities(&self, service: &str) -> Vec<SiblingCapacity> {
         let siblings = self.siblings.iter();
         let willing = siblings.filter(|(_, sibling)| sibling.takes_work(self.now));
-        let rooms = willing.filter_map(|(key, sibling)| {
+        let capacities = willing.filter_map(|(key, sibling)| {
             let load = sibling.load(service)?;
-            Some(SiblingRoom {
+            Some(SiblingCapacity {
                 sibling: key,
                 free_slots: load.free_slots,
                 queued_tasks: load.queued_tasks,
@@ -64,7 +64,7 @@
                 same_data_centre: sibling.listed.data_centre == self.config.data_centre,
             })
         });
-        rooms.collect()
+        capacities.collect()
     }
 
     fn overflow_demand(&self, service_key: ServiceKey) -> OverflowDemand {
@@ -133,7 +133,7 @@
         let message = self.batch_message(key, batch, receiver, tasks);
         let service = message.service.clone();
         if let Some(state) = self.siblings.get_mut(sibling) {
-            state.take_room(&service, sent);
+            state.take_capacity(&service, sent);
         }
         let record = SentBatch { job: key, open };
         self.sent_batches.insert(sibling, batch, record);
@@ -178,7 +178,7 @@
         if !self.siblings.get_mut(sibling).is_some_and(is_new) {
             return;
         }
-        if self.leaving || !self.has_room_for(&batch) {
+        if self.leaving || !self.has_capacity_for(&batch) {
             return self.refuse_batch(sender, number);
         }
         let origin = JobOrigin::Batch {
@@ -210,7 +210,7 @@
     }
 
     /// Whether a batch would start within about one task's run time.
-    fn has_room_for(&self, batch: &TaskBatch) -> bool {
+    fn has_capacity_for(&self, batch: &TaskBatch) -> bool {
         let Some(service) = self.plan.service(&batch.service) else {
             return false;
         };
@@ -284,7 +284,7 @@
             return;
         };
         if let Some(state) = self.siblings.get_mut(sibling) {
-            state.clear_room();
+            state.clear_capacity();
         }
         let indexes: Vec<u32> = sent.open.values().copied().collect();
         for index in indexes.into_iter().rev() {
--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -59,11 +59,11 @@
         return Ok(());
     }
     let late = finish - load.time_left;
-    let room_in = match load.slots_taken {
+    let capacity_in = match load.slots_taken {
         0 => late.min(wait),
         _ => late,
     };
-    Err(overloaded(room_in, load.spread))
+    Err(overloaded(capacity_in, load.spread))
 }
 
 /// The time until the first of the job's tasks can start.
@@ -101,9 +101,9 @@
     Ok(())
 }
 
-fn overloaded(room_in: Duration, spread: u32) -> Refusal {
+fn overloaded(capacity_in: Duration, spread: u32) -> Refusal {
     Refusal {
         reason: NotRunReason::Overloaded,
-        retry_after: retry_after(room_in, spread),
+        retry_after: retry_after(capacity_in, spread),
     }
 }
--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -265,7 +265,7 @@
         let mut free_slots = 0;
         for upstream in used {
             slots += upstream.effective_slots;
-            if upstream.has_room(self.now, unix_ms) {
+            if upstream.has_capacity(self.now, unix_ms) {
                 free_slots += upstream.effective_slots - upstream.in_flight;
             }
         }
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether a task that starts at `sibling` on arrival can be back before its deadline.
-    pub(crate) fn can_finish_at(&self, sibling: &SiblingRoom) -> bool {
+    pub(crate) fn can_finish_at(&self, sibling: &SiblingCapacity) -> bool {
         sibling.one_way * 2 + self.run_estimate <= self.time_left
     }
 }
@@ -54,7 +54,7 @@
 /// What is known of a sibling entry instance, for one service.
 #[value]
 #[derive(Copy)]
-pub struct SiblingRoom {
+pub struct SiblingCapacity {
     /// The sibling.
     pub sibling: SiblingKey,
     /// Its free slots, less the tasks already on their way there.
@@ -82,7 +82,11 @@
 /// Splits waiting tasks among siblings.
 pub trait Overflow: Send + Debug {
     /// The batches to forward; together no more than the waiting tasks beyond the own free slots.
-    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare>;
+    fn split(
+        &mut self,
+        demand: &OverflowDemand,
+        siblings: &[SiblingCapacity],
+    ) -> Vec<OverflowShare>;
 }
 
 /// The split for what the document weighs more.
--- a/lib/src/overflow_batch.rs
+++ b/lib/src/overflow_batch.rs
@@ -4,7 +4,7 @@
 
 use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
-use crate::overflow::SiblingRoom;
+use crate::overflow::SiblingCapacity;
 
 /// What makes a batch worth sending.
 #[derive(Clone, Copy, Debug)]
@@ -20,7 +20,7 @@
 /// A sibling whose own tasks wait gets none, nor one whose answers would come past the deadline.
 pub(crate) fn batches(
     demand: &OverflowDemand,
-    siblings: &[&SiblingRoom],
+    siblings: &[&SiblingCapacity],
     bounds: BatchBounds,
 ) -> Vec<OverflowShare> {
     let mut forwarded = 0;
--- a/lib/src/overflow_batched.rs
+++ b/lib/src/overflow_batched.rs
@@ -5,7 +5,7 @@
 use crate::overflow::Overflow;
 use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
-use crate::overflow::SiblingRoom;
+use crate::overflow::SiblingCapacity;
 use crate::overflow_batch::BatchBounds;
 use crate::overflow_batch::batches;
 
@@ -23,8 +23,12 @@
 pub struct BatchedOverflow;
 
 impl Overflow for BatchedOverflow {
-    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
-        let mut roomiest: Vec<&SiblingRoom> = siblings.iter().collect();
+    fn split(
+        &mut self,
+        demand: &OverflowDemand,
+        siblings: &[SiblingCapacity],
+    ) -> Vec<OverflowShare> {
+        let mut roomiest: Vec<&SiblingCapacity> = siblings.iter().collect();
         roomiest.sort_by_key(|sibling| (u32::MAX - sibling.free_slots, sibling.one_way));
         let fewest_tasks = match demand.own_slots {
             0 => 1,
--- a/lib/src/overflow_eager.rs
+++ b/lib/src/overflow_eager.rs
@@ -5,7 +5,7 @@
 use crate::overflow::Overflow;
 use crate::overflow::OverflowDemand;
 use crate::overflow::OverflowShare;
-use crate::overflow::SiblingRoom;
+use crate::overflow::SiblingCapacity;
 use crate::overflow_batch::BatchBounds;
 use crate::overflow_batch::batches;
 
@@ -16,8 +16,12 @@
 pub struct EagerOverflow;
 
 impl Overflow for EagerOverflow {
-    fn split(&mut self, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<OverflowShare> {
-        let mut nearest: Vec<&SiblingRoom> = siblings.iter().collect();
+    fn split(
+        &mut self,
+        demand: &OverflowDemand,
+        siblings: &[SiblingCapacity],
+    ) -> Vec<OverflowShare> {
+        let mut nearest: Vec<&SiblingCapacity> = siblings.iter().collect();
         nearest.sort_by_key(|sibling| {
             (
                 !sibling.same_data_centre,
--- a/lib/src/peer_codec/run_load.rs
+++ b/lib/src/peer_codec/run_load.rs
@@ -106,7 +106,7 @@
 impl From<FreeUpstream> for proto::FreeUpstream {
     fn from(free: FreeUpstream) -> Self {
         proto::FreeUpstream {
-            room: Some(free.room.into()),
+            room: Some(free.free.into()),
             slowness_percent: free.slowness_percent,
             name: free.name,
         }
@@ -118,7 +118,7 @@
 
     fn try_from(free: proto::FreeUpstream) -> Result<Self, DecodeError> {
         Ok(FreeUpstream {
-            room: required("digest.services.free.room", free.room)?.into(),
+            free: required("digest.services.free.room", free.room)?.into(),
             slowness_percent: free.slowness_percent,
             name: free.name,
         })
--- a/lib/src/queue_length.rs
+++ b/lib/src/queue_length.rs
@@ -30,10 +30,10 @@
             return Ok(());
         }
         let excess = (queued - load.max_queued_tasks).min(load.queued_tasks);
-        let room_in = load.run_estimate.mean * excess / load.slots;
+        let capacity_in = load.run_estimate.mean * excess / load.slots;
         Err(Refusal {
             reason: NotRunReason::QueueFull,
-            retry_after: retry_after(room_in, load.spread),
+            retry_after: retry_after(capacity_in, load.spread),
         })
     }
 }
--- a/lib/src/retry_after.rs
+++ b/lib/src/retry_after.rs
@@ -18,8 +18,8 @@
 ///
 /// `spread` differs from caller to caller, so callers that were refused together do not come back
 /// together; numbers in sequence are spread as well as random ones. The result is never zero.
-pub(crate) fn retry_after(room_in: Duration, spread: u32) -> Duration {
-    let wait = room_in.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
+pub(crate) fn retry_after(capacity_in: Duration, spread: u32) -> Duration {
+    let wait = capacity_in.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
     let scattered = spread.wrapping_mul(SCATTER);
     let share = f64::from(scattered) / f64::from(u32::MAX);
     wait + (wait / SPREAD_DIVISOR).mul_f64(share)
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -79,7 +79,7 @@
         }
         let is_impossible = spec.steps.iter().any(|step| {
             let label = step.required_label.as_deref();
-            !self.listing.could_run(service, step.room, label)
+            !self.listing.could_run(service, step.demand, label)
         });
         is_impossible.then(|| not_run(NotRun::NeedsNoUpstreamHas, None))
     }
@@ -106,7 +106,7 @@
                 deadline_left: wait,
             };
             if let Some(choice) =
-                choose_owner(views, step.room, &placement_request, &[], &mut reach)
+                choose_owner(views, step.demand, &placement_request, &[], &mut reach)
             {
                 longest_wait = longest_wait.max(choice.wait);
             }
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -167,7 +167,7 @@
     /// The expected work of a task in milliseconds of one core.
     pub(crate) fn core_ms(&self, task: TaskIndex) -> u64 {
         let demand = self.demand(task);
-        core_ms(demand.room.cpu_millicores, self.expected_run_time(task))
+        core_ms(demand.demand.cpu_millicores, self.expected_run_time(task))
     }
 }
 
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -188,7 +188,7 @@
             let spec = &self.spec.steps[step as usize];
             StepDemand {
                 step,
-                room: spec.room,
+                demand: spec.demand,
                 expected_run_time: self.expected_run_times[step as usize],
                 declared_run_time: spec.declared_run_time,
                 required_label: spec.required_label.clone(),
--- a/lib/src/runs/intended_state.rs
+++ b/lib/src/runs/intended_state.rs
@@ -50,7 +50,7 @@
     /// The unique name.
     pub name: Arc<str>,
     /// Whether its upstreams refuse tasks that exceed their room.
-    pub guards_room: bool,
+    pub enforces_capacity: bool,
 }
 
 /// The bounds on callers' requests.
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -33,7 +33,7 @@
     /// How many tasks it has.
     pub tasks: u32,
     /// What each task needs.
-    pub room: Resources,
+    pub demand: Resources,
     /// The caller's rough figure for the run time of one task.
     pub declared_run_time: Duration,
     /// The earlier steps all of whose tasks must be done first.
--- a/lib/src/runs/leased_run.rs
+++ b/lib/src/runs/leased_run.rs
@@ -35,7 +35,7 @@
     pub(crate) task: Option<(HeldBatchKey, TaskIndex)>,
     /// The batch that it was for, once its home gave it up: the home and its number.
     pub(crate) dropped_from: Option<(Incarnation, u64)>,
-    pub(crate) room: Resources,
+    pub(crate) demand: Resources,
     pub(crate) phase: RunPhase,
     pub(crate) ordered_at: Timestamp,
     pub(crate) expected_run_time: Duration,
@@ -95,14 +95,14 @@
 impl LeasedRun {
     pub(crate) fn starting(
         task: (HeldBatchKey, TaskIndex),
-        room: Resources,
+        demand: Resources,
         expected_run_time: Duration,
         now: Timestamp,
     ) -> Self {
         LeasedRun {
             task: Some(task),
             dropped_from: None,
-            room,
+            demand,
             phase: RunPhase::Starting,
             ordered_at: now,
             expected_run_time,
--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -111,9 +111,9 @@
     pub(crate) fn free(&self) -> Resources {
         let mut used = Resources::default();
         for run in self.runs.values() {
-            used += run.room;
+            used += run.demand;
         }
-        self.listed.room.minus(used)
+        self.listed.capacity.minus(used)
     }
 
     /// Whether a task may start there now, as far as room is not concerned.
--- a/lib/src/runs/listed_upstream.rs
+++ b/lib/src/runs/listed_upstream.rs
@@ -21,7 +21,7 @@
     /// Whether it is about to leave and takes no new work.
     pub draining: bool,
     /// What it has in all.
-    pub room: Resources,
+    pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<Arc<str>>,
     /// When this life of it began, in milliseconds since the Unix epoch, where it says so.
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -351,7 +351,8 @@
     fn adopt_task(&mut self, now: Timestamp, key: HeldBatchKey, task: TaskIndex, id: &str) -> bool {
         let batch = &mut self.batches[key];
         let run = batch.run(task);
-        let (room, expected_run_time) = (batch.demand(task).room, batch.expected_run_time(task));
+        let (demand, expected_run_time) =
+            (batch.demand(task).demand, batch.expected_run_time(task));
         let Some(on) = self.by_id.get(id).copied() else {
             return false;
         };
@@ -360,7 +361,7 @@
             return false;
         }
         batch.tasks[task].state = HeldState::Running(on);
-        let mut leased = LeasedRun::starting((key, task), room, expected_run_time, now);
+        let mut leased = LeasedRun::starting((key, task), demand, expected_run_time, now);
         leased.phase = RunPhase::Active {
             from: OrderId(self.next_order),
         };
@@ -377,7 +378,7 @@
             let label = demand.required_label.as_deref();
             upstream.is_usable()
                 && upstream.listed.service == batch.service
-                && demand.room.fits(upstream.listed.room)
+                && demand.demand.fits(upstream.listed.capacity)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
         })
     }
@@ -626,7 +627,7 @@
             let free = upstream.free();
             let label = demand.required_label.as_deref();
             let takes = upstream.listed.service == batch.service
-                && demand.room.fits(free)
+                && demand.demand.fits(free)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
                 && upstream.takes_work(now)
                 && self.is_within_limit(on, key, task);
@@ -639,7 +640,7 @@
                 avoided: avoid.contains(&upstream.listed.id),
                 far_from_data: rack.is_some_and(|rack| !upstream.listed.has_label(rack)),
                 slowness_percent: upstream.speed.slowness_percent(),
-                left_millicores: free.minus(demand.room).cpu_millicores,
+                left_millicores: free.minus(demand.demand).cpu_millicores,
                 distance: 0,
             });
         }
@@ -664,7 +665,7 @@
         let batch = &mut self.batches[key];
         let run = batch.run(task);
         let demand = batch.demand(task);
-        let (room, expected) = (demand.room, batch.expected_run_time(task));
+        let (demand, expected) = (demand.demand, batch.expected_run_time(task));
         let spec = batch.spec.clone();
         let waited_ms = whole_ms(now.since(batch.taken_at));
         batch.tasks[task].state = HeldState::Running(on);
@@ -675,7 +676,7 @@
         let Some(lease_until_ms) = upstream.extend_lease(now, lease) else {
             return self.requeue(Some((key, task)), None);
         };
-        let leased = LeasedRun::starting((key, task), room, expected, now);
+        let leased = LeasedRun::starting((key, task), demand, expected, now);
         upstream.runs.insert(run, leased);
         if upstream.runs.len() == 1 {
             // The hold under way may wait long, and its answer may be lost.
@@ -827,11 +828,11 @@
                 queued_core_ms: 0,
                 queued_tasks: 0,
             });
-            load.total += upstream.listed.room;
+            load.total += upstream.listed.capacity;
             if upstream.takes_work(now) {
                 load.free.push(FreeUpstream {
                     name: short_name(&upstream.listed.id),
-                    room: upstream.free(),
+                    free: upstream.free(),
                     slowness_percent: upstream.speed.slowness_percent(),
                 });
             }
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -207,7 +207,7 @@
         match refusal {
             Some(OrderRefusal::OldRun) => self.end_task(leased.task, NotStarted::OldRun),
             Some(OrderRefusal::Invalid) => self.end_task(leased.task, NotStarted::Invalid),
-            Some(OrderRefusal::NoRoom) => {
+            Some(OrderRefusal::NoCapacity) => {
                 upstream.health.on_refusal(now);
                 self.requeue(leased.task, None);
                 self.wake_after_health(now, on);
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -117,17 +117,17 @@
             continue;
         }
         let step = task.step as usize;
-        let room = job.spec.steps[step].room;
+        let demand = job.spec.steps[step].demand;
         let placement_request = job.placement_request(now, index);
         if let Some(choice) = choose_owner(
             views,
-            room,
+            demand,
             &placement_request,
             &task.avoid,
             &mut reaches[step],
         ) {
             let owner = views[choice.view].owner;
-            has_begun |= choice.has_room;
+            has_begun |= choice.has_capacity;
             chosen.entry(owner).or_default().push(index);
         }
     }
--- a/lib/src/runs/run_digest.rs
+++ b/lib/src/runs/run_digest.rs
@@ -43,7 +43,7 @@
     /// A short form of its name, [`short_name`].
     pub name: u32,
     /// What no run uses.
-    pub room: Resources,
+    pub free: Resources,
     /// The measured run times there over the expected ones, in hundredths.
     pub slowness_percent: u32,
 }
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -774,7 +774,7 @@
 /// The free processor of a load in thousandths of a core, and whether tasks wait.
 fn measure(digest: &RunDigest) -> (u32, bool) {
     let free = digest.services.iter().flat_map(|load| &load.free);
-    let free = free.map(|upstream| upstream.room.cpu_millicores);
+    let free = free.map(|upstream| upstream.free.cpu_millicores);
     let has_queue = digest.services.iter().any(|load| load.queued_tasks > 0);
     (free.fold(0, u32::saturating_add), has_queue)
 }
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -123,7 +123,7 @@
     /// The step.
     pub step: u32,
     /// The room of one task.
-    pub room: Resources,
+    pub demand: Resources,
     /// The expected run time of one task.
     pub expected_run_time: Duration,
     /// The run time that the caller declared, zero when none.
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -92,7 +92,7 @@
     LeaseExpired,
     /// The task does not fit into what is free.
     #[display("no_room")]
-    NoRoom,
+    NoCapacity,
     /// The upstream lives another life now.
     #[display("other_life")]
     OtherIncarnation,
--- a/lib/src/runs/spread.rs
+++ b/lib/src/runs/spread.rs
@@ -48,7 +48,7 @@
     pub(crate) view: usize,
     pub(crate) wait: Duration,
     /// Whether an upstream there has room for it now, as far as is known here.
-    pub(crate) has_room: bool,
+    pub(crate) has_capacity: bool,
 }
 
 impl OwnerView {
@@ -78,19 +78,19 @@
 /// Chooses an owner for one task and counts the task there.
 pub(crate) fn choose_owner(
     views: &mut [OwnerView],
-    room: Resources,
+    demand: Resources,
     task: &PlacementRequest,
     avoid: &[Arc<str>],
     reach: &mut StepReach,
 ) -> Option<Choice> {
-    if let Some((view, upstream)) = fitting(views, room, task, avoid, reach) {
+    if let Some((view, upstream)) = fitting(views, demand, task, avoid, reach) {
         reach.take(views[view].owner);
-        views[view].free[upstream].room -= room;
+        views[view].free[upstream].free -= demand;
         let wait = Duration::ZERO;
         return Some(Choice {
             view,
             wait,
-            has_room: true,
+            has_capacity: true,
         });
     }
     if task.is_run_known {
@@ -98,22 +98,22 @@
         return None;
     }
     let waiting = views.iter().enumerate();
-    let waiting = waiting.filter(|(_, view)| room.fits(view.total) && reach.has_left(view.owner));
+    let waiting = waiting.filter(|(_, view)| demand.fits(view.total) && reach.has_left(view.owner));
     let (view, least) = waiting.min_by_key(|(_, view)| (view.pressure(), view.distance))?;
     let wait = least.wait();
     reach.take(least.owner);
-    views[view].queued_core_ms += core_ms(room.cpu_millicores, task.expected_run_time);
+    views[view].queued_core_ms += core_ms(demand.cpu_millicores, task.expected_run_time);
     Some(Choice {
         view,
         wait,
-        has_room: false,
+        has_capacity: false,
     })
 }
 
 /// The best upstream with room for a task now, by its owner's place and its own.
 fn fitting(
     views: &[OwnerView],
-    room: Resources,
+    demand: Resources,
     task: &PlacementRequest,
     avoid: &[Arc<str>],
     reach: &StepReach,
@@ -124,7 +124,7 @@
     let reached = views.iter().enumerate();
     for (index, view) in reached.filter(|(_, view)| reach.has_left(view.owner)) {
         for (place, upstream) in view.free.iter().enumerate() {
-            if !room.fits(upstream.room) || !reach.allows(upstream.name) {
+            if !demand.fits(upstream.free) || !reach.allows(upstream.name) {
                 continue;
             }
             places.push((index, place));
@@ -132,7 +132,7 @@
                 avoided: avoid.contains(&upstream.name),
                 far_from_data: reach.is_far_from_data(upstream.name),
                 slowness_percent: upstream.slowness_percent,
-                left_millicores: upstream.room.minus(room).cpu_millicores,
+                left_millicores: upstream.free.minus(demand).cpu_millicores,
                 distance: view.distance as u32,
             });
         }
--- a/lib/src/runs/step_reach.rs
+++ b/lib/src/runs/step_reach.rs
@@ -42,7 +42,7 @@
                 continue;
             }
             labelled.insert(short_name(&upstream.id));
-            let can_take = !upstream.draining && step.room.fits(upstream.room);
+            let can_take = !upstream.draining && step.demand.fits(upstream.capacity);
             if let Some(owner) = owner.filter(|_| can_take) {
                 let left = left.entry(owner).or_default();
                 *left = left.saturating_add(most);
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Counts tasks that were sent to it against its free slots.
-    pub(crate) fn take_room(&mut self, service: &str, tasks: u32) {
+    pub(crate) fn take_capacity(&mut self, service: &str, tasks: u32) {
         let load = self.digest.services.iter_mut();
         let Some(load) = load.into_iter().find(|load| &*load.service == service) else {
             return;
@@ -100,7 +100,7 @@
     }
 
     /// Forgets its free slots until the next digest.
-    pub(crate) fn clear_room(&mut self) {
+    pub(crate) fn clear_capacity(&mut self) {
         for load in &mut self.digest.services {
             load.free_slots = 0;
         }
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -90,8 +90,8 @@
                 recent_latency_us: upstream.latency.recent_us(),
             };
             let has = upstream.has;
-            let has_room = upstream.has_room(self.now, unix_ms);
-            has_room.then_some(FreeUpstream { candidate, has })
+            let has_capacity = upstream.has_capacity(self.now, unix_ms);
+            has_capacity.then_some(FreeUpstream { candidate, has })
         });
         free.collect()
     }
--- a/lib/src/upstream_state.rs
+++ b/lib/src/upstream_state.rs
@@ -61,7 +61,7 @@
     }
 
     /// Whether one more task may start now.
-    pub(crate) fn has_room(&self, now: Timestamp, unix_ms: u64) -> bool {
+    pub(crate) fn has_capacity(&self, now: Timestamp, unix_ms: u64) -> bool {
         self.is_in_use(unix_ms)
             && self.in_flight < self.effective_slots
             && now >= self.paused_until
--- a/lib/tests/admission_control.rs
+++ b/lib/tests/admission_control.rs
@@ -157,11 +157,11 @@
         })
         .collect();
     waits.sort();
-    let room_in = waits[0];
-    assert!(waits[99] > room_in.mul_f64(1.45), "{waits:?}");
-    assert!(waits[99] <= room_in.mul_f64(1.5), "{waits:?}");
+    let capacity_in = waits[0];
+    assert!(waits[99] > capacity_in.mul_f64(1.45), "{waits:?}");
+    assert!(waits[99] <= capacity_in.mul_f64(1.5), "{waits:?}");
     let widest = waits.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(widest <= Some(room_in / 50), "{waits:?}");
+    assert!(widest <= Some(capacity_in / 50), "{waits:?}");
 }
 
 #[test]
--- a/lib/tests/calm_runs.rs
+++ b/lib/tests/calm_runs.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn cancelled_job_frees_its_room() {
+fn cancelled_job_frees_its_capacity() {
     let mut site = started();
     site.submit(0, "look", "00000000000000ad", &run_job(8, 6_800, 900));
     site.run_ms(100);
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -4,7 +4,7 @@
 
 use almondhead_lib::keys::SiblingKey;
 use almondhead_lib::overflow::OverflowDemand;
-use almondhead_lib::overflow::SiblingRoom;
+use almondhead_lib::overflow::SiblingCapacity;
 use almondhead_lib::overflow::overflow_for;
 use almondhead_lib::policies::Prefer;
 use rand::RngExt;
@@ -24,11 +24,11 @@
 }
 
 /// Siblings by their free slots and the milliseconds to them.
-fn siblings(rooms: &[(u32, u64)]) -> Vec<SiblingRoom> {
+fn siblings(capacities: &[(u32, u64)]) -> Vec<SiblingCapacity> {
     let mut keys: SlotMap<SiblingKey, ()> = SlotMap::with_key();
-    rooms
+    capacities
         .iter()
-        .map(|(free_slots, one_way_ms)| SiblingRoom {
+        .map(|(free_slots, one_way_ms)| SiblingCapacity {
             sibling: keys.insert(()),
             free_slots: *free_slots,
             queued_tasks: 0,
@@ -40,7 +40,7 @@
 }
 
 /// Tasks given to each sibling.
-fn split(prefer: Prefer, demand: &OverflowDemand, siblings: &[SiblingRoom]) -> Vec<u32> {
+fn split(prefer: Prefer, demand: &OverflowDemand, siblings: &[SiblingCapacity]) -> Vec<u32> {
     let shares = overflow_for(prefer).split(demand, siblings);
     siblings
         .iter()
@@ -55,8 +55,8 @@
 }
 
 #[test]
-fn tasks_go_where_there_is_room() {
-    let rooms = siblings(&[(10, 1), (5, 0), (40, 2)]);
+fn tasks_go_where_there_is_capacity() {
+    let capacities = siblings(&[(10, 1), (5, 0), (40, 2)]);
     let no_slots = OverflowDemand {
         own_slots: 0,
         ..demand(7)
@@ -103,7 +103,7 @@
     ];
     for (name, prefer, demand, expected) in cases {
         assert_eq!(
-            split(prefer, &demand, &rooms),
+            split(prefer, &demand, &capacities),
             expected,
             "{name} {prefer:?}"
         );
@@ -112,21 +112,21 @@
 
 #[test]
 fn siblings_that_queue_get_nothing() {
-    let mut rooms = siblings(&[(50, 1)]);
-    rooms[0].queued_tasks = 1;
+    let mut capacities = siblings(&[(50, 1)]);
+    capacities[0].queued_tasks = 1;
     for prefer in [Prefer::ResponseTime, Prefer::FewerMessages] {
-        assert_eq!(split(prefer, &demand(480), &rooms), [0]);
+        assert_eq!(split(prefer, &demand(480), &capacities), [0]);
     }
 }
 
 #[test]
-fn shares_never_exceed_need_or_room() {
+fn shares_never_exceed_demand_or_capacity() {
     let mut rng = StdRng::seed_from_u64(5);
     for _ in 0..2_000 {
-        let rooms: Vec<(u32, u64)> = (0..rng.random_range(0..8))
+        let capacities: Vec<(u32, u64)> = (0..rng.random_range(0..8))
             .map(|_| (rng.random_range(0..60), rng.random_range(0..4)))
             .collect();
-        let rooms = siblings(&rooms);
+        let capacities = siblings(&capacities);
         let queued_tasks = rng.random_range(0..500);
         let demand = OverflowDemand {
             waiting_tasks: rng.random_range(0..=queued_tasks),
@@ -137,13 +137,13 @@
             time_left: Duration::from_millis(rng.random_range(0..3_000)),
         };
         for prefer in [Prefer::ResponseTime, Prefer::FewerMessages] {
-            let tasks = split(prefer, &demand, &rooms);
+            let tasks = split(prefer, &demand, &capacities);
             assert!(
                 tasks.iter().sum::<u32>() <= demand.waiting_tasks,
                 "{demand:?}"
             );
-            for (tasks, room) in tasks.iter().zip(&rooms) {
-                assert!(*tasks <= room.free_slots, "{demand:?} {room:?}");
+            for (tasks, capacity) in tasks.iter().zip(&capacities) {
+                assert!(*tasks <= capacity.free_slots, "{demand:?} {capacity:?}");
             }
         }
     }
--- a/lib/testsupport/src/run_site/node.rs
+++ b/lib/testsupport/src/run_site/node.rs
@@ -38,7 +38,7 @@
 pub(super) fn work_service() -> RunService {
     RunService {
         name: Arc::from("work"),
-        guards_room: true,
+        enforces_capacity: true,
     }
 }
 
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -248,7 +248,7 @@
             address: SocketAddr::from(([127, 0, 0, 1], port)),
             data_centre: Arc::from(format!("dc-{data_centre}")),
             draining: false,
-            room: Resources {
+            capacity: Resources {
                 cpu_millicores: plan.cpu_millicores,
                 memory_mb: 65_536,
                 accelerators: 0,
@@ -870,7 +870,7 @@
         };
         let asked = StartAsked {
             run,
-            room: job.steps[run.task.step as usize].room,
+            demand: job.steps[run.task.step as usize].demand,
             work,
             lease_until_ms,
             fence,
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -32,7 +32,7 @@
 /// A run on an upstream.
 #[derive(Clone, Debug)]
 pub(super) struct SimRun {
-    pub(super) room: Resources,
+    pub(super) demand: Resources,
     pub(super) started_at: Timestamp,
     pub(super) ends_at: Timestamp,
     pub(super) fails: bool,
@@ -70,7 +70,7 @@
 /// What a start asks.
 pub(super) struct StartAsked {
     pub(super) run: RunId,
-    pub(super) room: Resources,
+    pub(super) demand: Resources,
     pub(super) work: Duration,
     pub(super) lease_until_ms: u64,
     pub(super) fence: u64,
@@ -133,8 +133,8 @@
         if newest.is_some_and(|newest| *newest >= asked.run.run) {
             return Err(OrderRefusal::OldRun);
         }
-        if !asked.room.fits(self.free()) {
-            return Err(OrderRefusal::NoRoom);
+        if !asked.demand.fits(self.free()) {
+            return Err(OrderRefusal::NoCapacity);
         }
         self.starts += 1;
         let factor = match self.fault {
@@ -147,7 +147,7 @@
             false => asked.work.mul_f64(factor / self.speed),
         };
         let run = SimRun {
-            room: asked.room,
+            demand: asked.demand,
             started_at: now,
             ends_at: now + takes,
             fails,
@@ -160,9 +160,9 @@
     fn free(&self) -> Resources {
         let mut used = Resources::default();
         for run in self.runs.values() {
-            used += run.room;
+            used += run.demand;
         }
-        self.listed.room.minus(used)
+        self.listed.capacity.minus(used)
     }
 
     pub(super) fn stop(&mut self, run: RunId, fence: u64) -> Result<(), OrderRefusal> {
