--- a/lib/src/runs/found_run.rs
+++ b/lib/src/runs/found_run.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use super::owner_choice::OwnerRef;
 use super::run_message::RunEnd;
-use super::spread::OwnerRef;
 use crate::time::Timestamp;
 
 /// How long such a run is remembered: its owner hears of its successor with its next order or with
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::spread::OwnerRef;
+use super::owner_choice::OwnerRef;
 use crate::time::Timestamp;
 
 /// How long after its owner was last heard a run has surely ended.
--- a/lib/src/runs/step_reach.rs
+++ b/lib/src/runs/step_reach.rs
@@ -5,8 +5,8 @@
 
 use super::job_spec::StepSpec;
 use super::listed_upstream::ListedUpstream;
+use super::owner_choice::OwnerRef;
 use super::run_digest::short_name;
-use super::spread::OwnerRef;
 
 /// Where the tasks of one step may go; by default anywhere.
 #[derive(Clone, Debug, Default)]
