--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -254,7 +254,7 @@
     ///
     /// Only the batch tells attempts apart: a job that its caller submits once more numbers its runs
     /// from one again.
-    pub(crate) fn take_ends(
+    pub(crate) fn handle_ends(
         &mut self,
         now: Timestamp,
         owner: OwnerRef,
@@ -508,7 +508,7 @@
     ///
     /// They may be of an earlier attempt, which numbered its runs as this one does. Those of tasks
     /// whose owner is in reach wait for its word.
-    pub(crate) fn claim_found(
+    pub(crate) fn handle_found_runs(
         &mut self,
         now: Timestamp,
         owner: OwnerRef,
@@ -737,7 +737,7 @@
     }
 
     /// Takes back a batch that was never sent.
-    pub(crate) fn take_unsent(&mut self, now: Timestamp, owner: OwnerRef, number: u64) {
+    pub(crate) fn handle_unsent_batch(&mut self, now: Timestamp, owner: OwnerRef, number: u64) {
         let Some(batch) = self.batches.swap_remove(&(owner, number)) else {
             return;
         };
--- a/lib/src/runs/requesting.rs
+++ b/lib/src/runs/requesting.rs
@@ -11,7 +11,7 @@
 use crate::id::RequestId;
 
 impl RunDispatcher {
-    pub(crate) fn requested(
+    pub(crate) fn handle_request(
         &mut self,
         request: RequestId,
         host: &str,
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -226,7 +226,7 @@
                 path,
                 kind,
                 wait,
-            } => self.requested(request, &host, &path, kind, wait),
+            } => self.handle_request(request, &host, &path, kind, wait),
             RunEvent::RequestDropped { request } => self.home.drop_request(self.now, request),
             RunEvent::IntendedRead { state, body } => self.install(state, body),
             RunEvent::UpstreamsListed(changes) => {
@@ -487,7 +487,7 @@
         match notice {
             OwnerNotice::Ends { home, batch, ends } => {
                 if home == self.settings.incarnation {
-                    return self.home.take_ends(self.now, OwnerRef::Own, batch, ends);
+                    return self.home.handle_ends(self.now, OwnerRef::Own, batch, ends);
                 }
                 if let Some(peer) = self.peers.by_incarnation(home) {
                     let digest = self.digest();
@@ -507,7 +507,8 @@
             } => {
                 let now = self.now;
                 let own = OwnerRef::Own;
-                self.home.claim_found(now, own, &upstream, &running, &ended);
+                self.home
+                    .handle_found_runs(now, own, &upstream, &running, &ended);
                 let found = RunMessage::Found {
                     upstream,
                     fence,
@@ -578,7 +579,7 @@
             }
             RunMessage::Ends(ends) => {
                 self.take_digest(peer, ends.digest);
-                self.home.take_ends(now, owner, ends.batch, ends.ends);
+                self.home.handle_ends(now, owner, ends.batch, ends.ends);
             }
             RunMessage::Cancel { batches } => self.owner.cancel(now, home, &batches),
             RunMessage::Found {
@@ -589,7 +590,7 @@
             } => {
                 self.owner.relinquish_upstream(now, &upstream, fence);
                 self.home
-                    .claim_found(now, owner, &upstream, &running, &ended);
+                    .handle_found_runs(now, owner, &upstream, &running, &ended);
             }
             RunMessage::Report(report) if is_fresh => self.take_report(peer, home, report),
             RunMessage::Report(_) => {}
@@ -655,7 +656,7 @@
         match message.message {
             RunMessage::Place(batch) => {
                 let owner = OwnerRef::Peer(peer);
-                self.home.take_unsent(self.now, owner, batch.number);
+                self.home.handle_unsent_batch(self.now, owner, batch.number);
                 self.peers.peers[peer].digest.services.clear();
             }
             // A heartbeat or a request for a document comes again by itself.
