--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -122,7 +122,7 @@
     pub(crate) batches: IndexMap<(OwnerRef, u64), OpenBatch>,
     /// The owners' names, for logs.
     owner_names: IndexMap<OwnerRef, Arc<str>>,
-    next_batch: u64,
+    last_batch_number: u64,
     estimates: IndexMap<Arc<str>, RunEstimate>,
     /// What other owners found of runs whose owners have not given them up.
     found: IndexMap<RunId, FoundRun>,
@@ -144,7 +144,7 @@
 
 impl Home {
     /// Learns an owner's name.
-    pub(crate) fn name_owner(&mut self, owner: OwnerRef, name: Arc<str>) {
+    pub(crate) fn set_owner_name(&mut self, owner: OwnerRef, name: Arc<str>) {
         self.owner_names.insert(owner, name);
     }
 
@@ -240,14 +240,14 @@
     }
 
     /// A number for a batch.
-    pub(crate) fn next_batch(&mut self) -> u64 {
-        self.next_batch += 1;
-        self.next_batch
+    pub(crate) fn next_batch_number(&mut self) -> u64 {
+        self.last_batch_number += 1;
+        self.last_batch_number
     }
 
     /// The highest number that a batch has got.
-    pub(crate) fn highest_batch(&self) -> u64 {
-        self.next_batch
+    pub(crate) fn highest_batch_number(&self) -> u64 {
+        self.last_batch_number
     }
 
     /// Takes in how tasks ended at an owner.
@@ -602,7 +602,7 @@
     ) {
         let run = self.jobs[key].run(task);
         tracing::info!(job = %run.task.job, run = %run, upstream = %upstream, owner = self.owner_name(owner), "run claimed");
-        let batch = self.batch_of(now, key, owner, &[task]);
+        let batch = self.create_batch(now, key, owner, &[task]);
         self.close_empty_batches(key);
         if let Some(open) = self.batches.get_mut(&(owner, batch.number)) {
             open.is_adoption = true;
@@ -615,7 +615,7 @@
     }
 
     /// Takes in which batches an owner holds; those that it does not hold have ended unheard.
-    pub(crate) fn compare_held(
+    pub(crate) fn reconcile_batches(
         &mut self,
         now: Timestamp,
         owner: OwnerRef,
@@ -776,14 +776,14 @@
     }
 
     /// The message that hands tasks to an owner; they count as placed from now on.
-    pub(crate) fn batch_of(
+    pub(crate) fn create_batch(
         &mut self,
         now: Timestamp,
         key: HomeJobKey,
         owner: OwnerRef,
         tasks: &[usize],
     ) -> RunBatch {
-        let number = self.next_batch();
+        let number = self.next_batch_number();
         self.batches.insert(
             (owner, number),
             OpenBatch {
@@ -994,7 +994,7 @@
     }
 
     /// The batches that are open at an owner.
-    pub(crate) fn open_at(&self, owner: OwnerRef) -> Vec<u64> {
+    pub(crate) fn open_batches_at(&self, owner: OwnerRef) -> Vec<u64> {
         let open = self.batches.keys().filter(|(at, _)| *at == owner);
         open.map(|(_, number)| *number).collect()
     }
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -133,7 +133,7 @@
     }
     home.jobs[key].has_begun = has_begun;
     for (owner, tasks) in chosen {
-        let batch = home.batch_of(now, key, owner, &tasks);
+        let batch = home.create_batch(now, key, owner, &tasks);
         tracing::info!(
             job = %batch.job, owner = home.owner_name(owner), batch = batch.number, tasks = tasks.len(), "tasks placed"
         );
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -313,9 +313,10 @@
 
     fn set_peers(&mut self) {
         let own = self.settings.instance.clone();
-        self.home.name_owner(OwnerRef::Own, own);
+        self.home.set_owner_name(OwnerRef::Own, own);
         for (key, peer) in &self.peers.peers {
-            self.home.name_owner(OwnerRef::Peer(key), peer.name.clone());
+            self.home
+                .set_owner_name(OwnerRef::Peer(key), peer.name.clone());
         }
         let peers = self.peers.peers.values().map(|peer| PeerAddress {
             name: peer.name.clone(),
@@ -610,7 +611,7 @@
         self.owner
             .keep_only(self.now, home, &report.open, report.highest_sent);
         self.home
-            .compare_held(self.now, owner, &report.held, report.highest_taken);
+            .reconcile_batches(self.now, owner, &report.held, report.highest_taken);
     }
 
     fn take_digest(&mut self, peer: PeerKey, digest: RunDigest) {
@@ -712,7 +713,7 @@
             .collect();
         for (peer, incarnation) in peers {
             let (held, highest_taken) = self.owner.held_of(self.now, incarnation);
-            let open = self.home.open_at(OwnerRef::Peer(peer));
+            let open = self.home.open_batches_at(OwnerRef::Peer(peer));
             let state = &self.peers.peers[peer];
             let is_neighbour = self.neighbours.contains(&state.name) || state.is_back(self.now);
             if held.is_empty() && open.is_empty() && !is_neighbour {
@@ -723,7 +724,7 @@
                 held,
                 highest_taken,
                 open,
-                highest_sent: self.home.highest_batch(),
+                highest_sent: self.home.highest_batch_number(),
             };
             self.send(peer, RunMessage::Report(report));
         }
