--- a/lib/src/peer_codec/run_load.rs
+++ b/lib/src/peer_codec/run_load.rs
@@ -108,7 +108,7 @@
         proto::FreeUpstream {
             room: Some(free.free.into()),
             slowness_percent: free.slowness_percent,
-            name: free.name,
+            name: free.name_hash,
         }
     }
 }
@@ -120,7 +120,7 @@
         Ok(FreeUpstream {
             free: required("digest.services.free.room", free.room)?.into(),
             slowness_percent: free.slowness_percent,
-            name: free.name,
+            name_hash: free.name,
         })
     }
 }
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -58,7 +58,7 @@
             return Some(not_run(NotRun::Stopping, Some(MIN_RETRY_AFTER)));
         }
         let wait = self.home.time_left(self.now, wait);
-        let mut views = self.views(&queue.service);
+        let mut views = self.owner_views(&queue.service);
         if let Err(refusal) = check_load(&mut views, &spec, &expected, wait) {
             return Some(refusal);
         }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -24,7 +24,7 @@
 use super::run_action::RunAction;
 use super::run_digest::FreeUpstream;
 use super::run_digest::RunLoad;
-use super::run_digest::short_name;
+use super::run_digest::name_hash;
 use super::run_id::HeldBatchKey;
 use super::run_id::LeasedUpstreamKey;
 use super::run_id::OrderId;
@@ -831,7 +831,7 @@
             load.total += upstream.listed.capacity;
             if upstream.takes_work(now) {
                 load.free.push(FreeUpstream {
-                    name: short_name(&upstream.listed.id),
+                    name_hash: name_hash(&upstream.listed.id),
                     free: upstream.free(),
                     slowness_percent: upstream.speed.slowness_percent(),
                 });
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -7,7 +7,7 @@
 use super::resources::Resources;
 use super::run_digest::FreeUpstream;
 use super::run_digest::RunLoad;
-use super::run_digest::short_name;
+use super::run_digest::name_hash;
 use super::run_id::PeerKey;
 use super::step_reach::StepReach;
 use super::upstream_choice::CandidateUpstream;
@@ -118,19 +118,19 @@
     avoid: &[Arc<str>],
     reach: &StepReach,
 ) -> Option<(usize, usize)> {
-    let avoid: Vec<u32> = avoid.iter().map(|upstream| short_name(upstream)).collect();
+    let avoid: Vec<u32> = avoid.iter().map(|upstream| name_hash(upstream)).collect();
     let mut places = Vec::new();
     let mut candidates = Vec::new();
     let reached = views.iter().enumerate();
     for (index, view) in reached.filter(|(_, view)| reach.has_left(view.owner)) {
         for (place, upstream) in view.free.iter().enumerate() {
-            if !demand.fits(upstream.free) || !reach.allows(upstream.name) {
+            if !demand.fits(upstream.free) || !reach.allows(upstream.name_hash) {
                 continue;
             }
             places.push((index, place));
             candidates.push(CandidateUpstream {
-                avoided: avoid.contains(&upstream.name),
-                far_from_data: reach.is_far_from_data(upstream.name),
+                avoided: avoid.contains(&upstream.name_hash),
+                far_from_data: reach.is_far_from_data(upstream.name_hash),
                 slowness_percent: upstream.slowness_percent,
                 left_millicores: upstream.free.minus(demand).cpu_millicores,
                 distance: view.distance as u32,
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -23,7 +23,7 @@
 
 impl RunDispatcher {
     /// The owners of a service's upstreams that take work now.
-    pub(crate) fn views(&self, service: &str) -> Vec<OwnerView> {
+    pub(crate) fn owner_views(&self, service: &str) -> Vec<OwnerView> {
         let mut views = Vec::new();
         let own_loads = self.owner.loads(self.now);
         for load in own_loads.iter().filter(|load| &*load.service == service) {
@@ -58,7 +58,7 @@
             let of_service = match views.get_mut(&service) {
                 Some(of_service) => of_service,
                 None => {
-                    let of_service = self.views(&service);
+                    let of_service = self.owner_views(&service);
                     views.entry(service).or_insert(of_service)
                 }
             };
--- a/lib/src/runs/run_digest.rs
+++ b/lib/src/runs/run_digest.rs
@@ -40,8 +40,8 @@
 #[value]
 #[derive(Copy)]
 pub struct FreeUpstream {
-    /// A short form of its name, [`short_name`].
-    pub name: u32,
+    /// A short form of its name, [`name_hash`].
+    pub name_hash: u32,
     /// What no run uses.
     pub free: Resources,
     /// The measured run times there over the expected ones, in hundredths.
@@ -49,7 +49,7 @@
 }
 
 /// A short form of an upstream's name, enough to tell those of one service apart.
-pub fn short_name(upstream: &str) -> u32 {
+pub fn name_hash(upstream: &str) -> u32 {
     xxh3_64_with_seed(upstream.as_bytes(), 0) as u32
 }
 
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -420,7 +420,7 @@
         let waiting: Vec<HomeJobKey> = waiting.map(|(key, _)| key).collect();
         for key in waiting {
             let service = self.home.jobs[key].queue.service.clone();
-            let has_owner = !self.views(&service).is_empty();
+            let has_owner = !self.owner_views(&service).is_empty();
             let job = &mut self.home.jobs[key];
             if has_owner {
                 job.no_owner_since = None;
--- a/lib/src/runs/step_reach.rs
+++ b/lib/src/runs/step_reach.rs
@@ -6,7 +6,7 @@
 use super::job_spec::StepSpec;
 use super::listed_upstream::ListedUpstream;
 use super::owner_choice::OwnerRef;
-use super::run_digest::short_name;
+use super::run_digest::name_hash;
 
 /// Where the tasks of one step may go; by default anywhere.
 #[derive(Clone, Debug, Default)]
@@ -36,12 +36,12 @@
         let mut left: IndexMap<OwnerRef, u32> = IndexMap::new();
         for (upstream, owner) in upstreams {
             if rack.is_some_and(|rack| upstream.has_label(rack)) {
-                near_data.insert(short_name(&upstream.id));
+                near_data.insert(name_hash(&upstream.id));
             }
             if !label.is_none_or(|label| upstream.has_label(label)) {
                 continue;
             }
-            labelled.insert(short_name(&upstream.id));
+            labelled.insert(name_hash(&upstream.id));
             let can_take = !upstream.draining && step.demand.fits(upstream.capacity);
             if let Some(owner) = owner.filter(|_| can_take) {
                 let left = left.entry(owner).or_default();
