--- a/lib/src/runs.rs
+++ b/lib/src/runs.rs
@@ -39,7 +39,7 @@
 pub mod run_order;
 pub mod run_settings;
 pub mod run_status;
-mod step_reach;
+mod step_constraints;
 pub mod upstream_choice;
 pub mod upstream_clock;
 mod upstream_listing;
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -16,7 +16,7 @@
 use super::run_answer::NotRun;
 use super::run_answer::RunAnswer;
 use super::run_dispatcher::RunDispatcher;
-use super::step_reach::StepReach;
+use super::step_constraints::StepConstraints;
 use super::upstream_choice::PlacementRequest;
 use crate::id::RequestId;
 
@@ -97,7 +97,7 @@
         if !step.after.is_empty() {
             continue;
         }
-        let mut reach = StepReach::default();
+        let mut constraints = StepConstraints::default();
         for _ in 0..step.tasks {
             let placement_request = PlacementRequest {
                 expected_run_time: *run,
@@ -105,9 +105,13 @@
                 objective_left: wait,
                 deadline_left: wait,
             };
-            if let Some(choice) =
-                choose_owner(views, step.demand, &placement_request, &[], &mut reach)
-            {
+            if let Some(choice) = choose_owner(
+                views,
+                step.demand,
+                &placement_request,
+                &[],
+                &mut constraints,
+            ) {
                 longest_wait = longest_wait.max(choice.wait);
             }
         }
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -9,7 +9,7 @@
 use super::run_digest::RunLoad;
 use super::run_digest::name_hash;
 use super::run_id::PeerKey;
-use super::step_reach::StepReach;
+use super::step_constraints::StepConstraints;
 use super::upstream_choice::CandidateUpstream;
 use super::upstream_choice::PlacementRequest;
 use super::upstream_choice::SlowestInTime;
@@ -81,10 +81,10 @@
     demand: Resources,
     task: &PlacementRequest,
     avoid: &[Arc<str>],
-    reach: &mut StepReach,
+    constraints: &mut StepConstraints,
 ) -> Option<Choice> {
-    if let Some((view, upstream)) = fitting(views, demand, task, avoid, reach) {
-        reach.take(views[view].owner);
+    if let Some((view, upstream)) = fitting(views, demand, task, avoid, constraints) {
+        constraints.count_task(views[view].owner);
         views[view].free[upstream].free -= demand;
         let wait = Duration::ZERO;
         return Some(Choice {
@@ -98,10 +98,11 @@
         return None;
     }
     let waiting = views.iter().enumerate();
-    let waiting = waiting.filter(|(_, view)| demand.fits(view.total) && reach.has_left(view.owner));
+    let waiting = waiting
+        .filter(|(_, view)| demand.fits(view.total) && constraints.has_remaining(view.owner));
     let (view, least) = waiting.min_by_key(|(_, view)| (view.pressure(), view.distance))?;
     let wait = least.wait();
-    reach.take(least.owner);
+    constraints.count_task(least.owner);
     views[view].queued_core_ms += core_ms(demand.cpu_millicores, task.expected_run_time);
     Some(Choice {
         view,
@@ -116,21 +117,21 @@
     demand: Resources,
     task: &PlacementRequest,
     avoid: &[Arc<str>],
-    reach: &StepReach,
+    constraints: &StepConstraints,
 ) -> Option<(usize, usize)> {
     let avoid: Vec<u32> = avoid.iter().map(|upstream| name_hash(upstream)).collect();
     let mut places = Vec::new();
     let mut candidates = Vec::new();
     let reached = views.iter().enumerate();
-    for (index, view) in reached.filter(|(_, view)| reach.has_left(view.owner)) {
+    for (index, view) in reached.filter(|(_, view)| constraints.has_remaining(view.owner)) {
         for (place, upstream) in view.free.iter().enumerate() {
-            if !demand.fits(upstream.free) || !reach.allows(upstream.name_hash) {
+            if !demand.fits(upstream.free) || !constraints.allows(upstream.name_hash) {
                 continue;
             }
             places.push((index, place));
             candidates.push(CandidateUpstream {
                 avoided: avoid.contains(&upstream.name_hash),
-                far_from_data: reach.is_far_from_data(upstream.name_hash),
+                far_from_data: constraints.is_far_from_data(upstream.name_hash),
                 slowness_percent: upstream.slowness_percent,
                 left_millicores: upstream.free.minus(demand).cpu_millicores,
                 distance: view.distance as u32,
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -17,7 +17,7 @@
 use super::roster::Roster;
 use super::run_dispatcher::RunDispatcher;
 use super::run_id::HomeJobKey;
-use super::step_reach::StepReach;
+use super::step_constraints::StepConstraints;
 use super::upstream_listing::UpstreamListing;
 use crate::time::Timestamp;
 
@@ -62,10 +62,17 @@
                     views.entry(service).or_insert(of_service)
                 }
             };
-            let mut reaches = reaches(&self.home.jobs[key], &self.roster, &self.listing, |name| {
-                owner_named(&self.settings.instance, &self.peers, name)
-            });
-            place_job(&mut self.home, self.now, key, of_service, &mut reaches);
+            let mut step_constraints =
+                step_constraints(&self.home.jobs[key], &self.roster, &self.listing, |name| {
+                    owner_named(&self.settings.instance, &self.peers, name)
+                });
+            place_job(
+                &mut self.home,
+                self.now,
+                key,
+                of_service,
+                &mut step_constraints,
+            );
         }
     }
 }
@@ -78,16 +85,16 @@
 }
 
 /// Where the tasks of each step of a job may go.
-fn reaches(
+fn step_constraints(
     job: &HomeJob,
     roster: &Roster,
     listing: &UpstreamListing,
     owner_named: impl Fn(&str) -> Option<OwnerRef>,
-) -> Vec<StepReach> {
+) -> Vec<StepConstraints> {
     let steps = (0..).zip(&job.spec.steps);
-    let reaches = steps.map(|(index, step)| {
-        if !StepReach::is_needed(step) {
-            return StepReach::default();
+    let step_constraints = steps.map(|(index, step)| {
+        if !StepConstraints::is_needed(step) {
+            return StepConstraints::default();
         }
         let upstreams = with_owners(roster, listing)
             .filter(|(upstream, _)| upstream.service == job.queue.service)
@@ -96,9 +103,9 @@
             HomeState::Placed { owner, .. } if task.step == index => Some(owner),
             _ => None,
         });
-        StepReach::new(step, upstreams, placed)
+        StepConstraints::new(step, upstreams, placed)
     });
-    reaches.collect()
+    step_constraints.collect()
 }
 
 /// Hands the waiting tasks of a job to owners.
@@ -107,7 +114,7 @@
     now: Timestamp,
     key: HomeJobKey,
     views: &mut [OwnerView],
-    reaches: &mut [StepReach],
+    step_constraints: &mut [StepConstraints],
 ) {
     let job = &home.jobs[key];
     let mut has_begun = job.has_begun;
@@ -124,7 +131,7 @@
             demand,
             &placement_request,
             &task.avoid,
-            &mut reaches[step],
+            &mut step_constraints[step],
         ) {
             let owner = views[choice.view].owner;
             has_begun |= choice.has_capacity;
--- a/lib/src/runs/step_reach.rs
+++ b/lib/src/runs/step_constraints.rs
@@ -10,7 +10,7 @@
 
 /// Where the tasks of one step may go; by default anywhere.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StepReach {
+pub(crate) struct StepConstraints {
     /// The upstreams that have the label, by their short names; none when any will do.
     labelled: Option<IndexSet<u32>>,
     /// The upstreams in the rack where the data is; none when there is no such rack.
@@ -19,7 +19,7 @@
     left: Option<IndexMap<OwnerRef, u32>>,
 }
 
-impl StepReach {
+impl StepConstraints {
     /// Works out the reach of a step from the upstreams of its service with their owners.
     ///
     /// `placed` are the owners of the step's tasks that have one.
@@ -54,7 +54,7 @@
             }
         }
         let is_bounded = label.is_some() || step.most_per_upstream.is_some();
-        StepReach {
+        StepConstraints {
             labelled: label.map(|_| labelled),
             near_data: rack.map(|_| near_data),
             left: is_bounded.then_some(left),
@@ -69,13 +69,13 @@
     }
 
     /// Whether an owner can take one more task.
-    pub(crate) fn has_left(&self, owner: OwnerRef) -> bool {
+    pub(crate) fn has_remaining(&self, owner: OwnerRef) -> bool {
         let left = self.left.as_ref();
         left.is_none_or(|left| left.get(&owner).is_some_and(|left| *left > 0))
     }
 
     /// Counts a task that an owner gets.
-    pub(crate) fn take(&mut self, owner: OwnerRef) {
+    pub(crate) fn count_task(&mut self, owner: OwnerRef) {
         if let Some(left) = self.left.as_mut().and_then(|left| left.get_mut(&owner)) {
             *left = left.saturating_sub(1);
         }
