--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -1,4 +1,4 @@
-//! Whether a job is taken in.
+//! Admission: whether a submitted job is accepted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,11 +20,13 @@
 use super::upstream_choice::PlacementRequest;
 use crate::id::RequestId;
 
-/// The shortest advice to come back later.
+/// The shortest wait before a retry that a refusal advises.
 const MIN_RETRY_AFTER: Duration = RETRY_AFTER_OVERLOAD;
 
 impl RunDispatcher {
-    /// Takes a job in, or gives the answer that refuses it.
+    /// Accepts a job or joins the request to the open job of the same name.
+    ///
+    /// Returns an answer if the job is refused.
     pub(crate) fn submit(
         &mut self,
         request: RequestId,
@@ -45,19 +47,19 @@
             return Some(not_run(NotRun::TooManyJobs, Some(MIN_RETRY_AFTER)));
         }
         let queue = target.queue;
-        if let Some(refusal) = self.never_servable(&queue.service, &spec) {
+        if let Some(refusal) = self.refuse_unservable(&queue.service, &spec) {
             return Some(refusal);
         }
-        // The queue's timeout says nothing about a caller that names its own.
+        // The queue's timeout applies only to callers that do not name their own.
         let wait = wait
             .or(queue.timeout)
             .unwrap_or(self.settings.limits.default_timeout);
         let expected = self.home.expected_run_times(&queue.name, &spec);
         let objective = objective(queue, &spec, &expected).min(wait);
-        if self.home.is_over_by(self.now + objective) {
+        if self.home.is_stopped_by(self.now + objective) {
             return Some(not_run(NotRun::Stopping, Some(MIN_RETRY_AFTER)));
         }
-        let wait = self.home.time_left(self.now, wait);
+        let wait = self.home.limit_wait(self.now, wait);
         let mut views = self.owner_views(&queue.service);
         if let Err(refusal) = check_load(&mut views, &spec, &expected, wait) {
             return Some(refusal);
@@ -72,8 +74,10 @@
         None
     }
 
-    /// The refusal of a job that no listed upstream could ever run.
-    fn never_servable(&self, service: &str, spec: &JobSpec) -> Option<RunAnswer> {
+    /// Refuses a job with a task that no listed upstream could ever run.
+    ///
+    /// None while no upstream of the service is listed.
+    fn refuse_unservable(&self, service: &str, spec: &JobSpec) -> Option<RunAnswer> {
         if !self.listing.has_service(service) {
             return None;
         }
@@ -85,7 +89,7 @@
     }
 }
 
-/// Refuses a job that would end after its caller has left, by the load as it is known.
+/// Refuses a job that by the load known so far would end after its caller has left.
 fn check_load(
     views: &mut [OwnerView],
     spec: &JobSpec,
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -1,4 +1,4 @@
-//! The home of jobs: takes them in, follows their tasks and answers their callers.
+//! The home of jobs: the instance that accepts them, places their tasks and answers their callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use super::home_job::Unfinished;
 use super::home_task::HomeState;
 use super::home_task::HomeTask;
-use super::home_task::SURELY_ENDED;
+use super::home_task::MAX_RUN_AFTER_CONTACT;
 use super::intended_state::JobQueueSettings;
 use super::job_spec::JobSpec;
 use super::owner_choice::OwnerRef;
@@ -36,83 +36,86 @@
 use crate::time::Timestamp;
 use crate::timer::TimerService;
 
-/// How long before its caller leaves a job is given up, for the way of the answer.
-const ANSWER_TIME: Duration = Duration::from_millis(5);
+/// How long before its caller leaves a job is given up, so that the answer arrives in time.
+const ANSWER_MARGIN: Duration = Duration::from_millis(5);
 
-/// How long the ends of a job's other tasks may stay out once it is known to end unfinished.
+/// How long a job that is ending unfinished waits for its other tasks to be reported ended.
 ///
-/// They are due at the same time; a message takes a few milliseconds.
-const ENDING_TIME: Duration = Duration::from_millis(30);
+/// Their owners end them at the same time; a message takes a few milliseconds.
+const ENDING_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// How long after one task of a job was reported overdue the others of a job that has not begun
-/// are reported too: owners give them up at the same moment, and a message takes milliseconds.
-const OVERDUE_TIME: Duration = Duration::from_millis(10);
+/// How long after the first task of a job that has not begun is reported overdue its other tasks
+/// are reported too.
+///
+/// Owners give them up at the same moment; a message takes a few milliseconds. A task that is not
+/// reported by then counts as running.
+const OVERDUE_TIMEOUT: Duration = Duration::from_millis(10);
 
-/// How long a task adrift waits for the next owner of its upstream to ask for it.
+/// How long an orphaned run waits for the next owner of its upstream to report it.
 pub(crate) const ORPHAN_CLAIM_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How long after its owner was last heard a run can still be asked for: the longest lease that the
-/// owner can have ordered.
+/// How long after the last contact with its owner a run can still be claimed by another owner.
+///
+/// This is the longest lease that the former owner can have ordered.
 pub(crate) const CLAIMABLE_TIME: Duration = Duration::from_secs(1);
 
-/// The most placements of one task on average, against endless refusals.
+/// Maximum number of placements per task, on average over a job, so that refusals do not go on
+/// endlessly.
 const MAX_PLACEMENTS_PER_TASK: u32 = 16;
 
-/// How long the answer of an ended job is kept for a caller that asks again.
+/// How long the answer of an ended job is kept for a caller that repeats its request.
 ///
-/// Callers whose connection broke come back after 1.3 s.
-const KEEP_ANSWER: Duration = Duration::from_secs(5);
+/// Callers whose connection broke retry after 1.3 s.
+const ANSWER_RETENTION: Duration = Duration::from_secs(5);
 
-/// How long a batch may be on its way before it counts as lost; owners refuse it by then.
-const BATCH_ON_ITS_WAY: Duration = Duration::from_millis(400);
+/// How long a batch may be in flight before it counts as lost; owners refuse a batch this old.
+const MAX_BATCH_TRANSIT: Duration = Duration::from_millis(400);
 
-/// What a home's parts subscribe to.
+/// The timers of a home.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum HomeTimer {
-    /// The caller of the job leaves.
+    /// The job's deadline has passed.
     Deadline(HomeJobKey),
-    /// The ends of the job's other tasks are overdue.
-    Ending(HomeJobKey),
-    /// Some of a job's tasks are overdue and others are not.
-    Overdue(HomeJobKey),
-    /// A task adrift has not been asked for.
+    /// The job is ending, and the ends of its other tasks have not been reported in time.
+    EndingTimeout(HomeJobKey),
+    /// Some of the job's tasks have been reported overdue, the others have not.
+    OverdueTimeout(HomeJobKey),
+    /// An orphaned run of the job has not been reported by another owner, or must have ended.
     OrphanTimeout(HomeJobKey),
-    /// The answer of an ended job is kept no longer.
-    Forget(JobId),
+    /// The answer of an ended job no longer has to be kept.
+    ForgetAnswer(JobId),
 }
 
-/// A batch that an owner holds.
+/// A batch that was sent to an owner and has tasks that have not ended.
 #[derive(Debug)]
 pub(crate) struct OpenBatch {
     pub(crate) job: HomeJobKey,
     pub(crate) sent_at: Timestamp,
-    /// Whether its runs ran before the owner got them.
+    /// Whether the owner adopts runs that another owner started.
     is_adoption: bool,
 }
 
-/// What a home wants done.
+/// An action that the home asks its dispatcher to perform.
 #[derive(Debug)]
 pub(crate) enum HomeOutput {
+    /// Answer a caller's request.
     Answer {
         request: RequestId,
         answer: RunAnswer,
     },
-    Place {
-        owner: OwnerRef,
-        batch: RunBatch,
-    },
+    /// Send tasks to an owner, which is to start them.
+    Place { owner: OwnerRef, batch: RunBatch },
+    /// Ask an owner to adopt runs that it found on its upstream.
     Adopt {
         owner: OwnerRef,
         upstream: Arc<str>,
         batch: RunBatch,
     },
-    Cancel {
-        owner: OwnerRef,
-        batches: Vec<u64>,
-    },
+    /// Ask an owner to stop what is left of batches, named by their numbers.
+    Cancel { owner: OwnerRef, batches: Vec<u64> },
 }
 
-/// The jobs whose home is this instance.
+/// The jobs whose home is this instance, with their requests, placed batches and timers.
 #[derive(Debug, Default)]
 pub(crate) struct Home {
     pub(crate) jobs: SlotMap<HomeJobKey, HomeJob>,
@@ -120,21 +123,23 @@
     ended: IndexMap<JobId, JobEnd>,
     requests: IndexMap<RequestId, HomeJobKey>,
     pub(crate) batches: IndexMap<(OwnerRef, u64), OpenBatch>,
-    /// The owners' names, for logs.
+    /// The names of the owners' instances, for logs.
     owner_names: IndexMap<OwnerRef, Arc<str>>,
     last_batch_number: u64,
+    /// Run time estimates by queue name.
     estimates: IndexMap<Arc<str>, RunEstimate>,
-    /// What other owners found of runs whose owners have not given them up.
+    /// Runs that another owner found while they were still placed at their former owner.
     found: IndexMap<RunId, FoundRun>,
     pub(crate) timers: TimerService<HomeTimer>,
     pub(crate) outputs: Vec<HomeOutput>,
     pub(crate) counts: RunCounts,
+    /// Whether something changed since waiting tasks were last placed.
     is_dirty: bool,
-    /// When a stopping process gives its last answers.
+    /// When a stopping instance answers all jobs that are still open.
     last_answers_at: Option<Timestamp>,
 }
 
-/// A job that passed every check.
+/// A job that passed the admission checks.
 pub(crate) struct NewJob {
     pub(crate) id: JobId,
     pub(crate) queue: Arc<JobQueueSettings>,
@@ -143,17 +148,19 @@
 }
 
 impl Home {
-    /// Learns an owner's name.
+    /// Records the name of an owner's instance.
     pub(crate) fn set_owner_name(&mut self, owner: OwnerRef, name: Arc<str>) {
         self.owner_names.insert(owner, name);
     }
 
-    /// An owner's name.
+    /// The name of an owner's instance, or `unknown`.
     pub(crate) fn owner_name(&self, owner: OwnerRef) -> &str {
         self.owner_names.get(&owner).map_or("unknown", |name| name)
     }
 
-    /// Joins a request to a job that is open here or has just ended.
+    /// Attaches a request to a job that is open here, or answers it if the job has recently ended.
+    ///
+    /// Returns false when the job is not known here.
     pub(crate) fn join(&mut self, request: RequestId, id: JobId) -> bool {
         if let Some(end) = self.ended.get(&id).copied() {
             self.answer(request, RunAnswer::Ended(end));
@@ -168,7 +175,7 @@
         true
     }
 
-    /// The expected run times of a job's tasks, by step.
+    /// The expected run time of a task, by step of the job.
     pub(crate) fn expected_run_times(&self, queue: &str, spec: &JobSpec) -> Vec<Duration> {
         let estimate = self.estimates.get(queue);
         let expected = spec.steps.iter().map(|step| {
@@ -181,7 +188,7 @@
         expected.collect()
     }
 
-    /// Takes a job in.
+    /// Opens an accepted job; `expected_run_times` are by step.
     pub(crate) fn open(
         &mut self,
         now: Timestamp,
@@ -196,16 +203,16 @@
             wait,
         } = new;
         let objective = objective(&queue, &spec, &expected_run_times);
-        let deadline = now + wait.saturating_sub(ANSWER_TIME);
-        let tasks = (0..)
-            .zip(&spec.steps)
-            .flat_map(|(step, of)| (0..of.tasks).map(move |index| HomeTask::new(step, index)));
+        let deadline = now + wait.saturating_sub(ANSWER_MARGIN);
+        let tasks = (0..).zip(&spec.steps).flat_map(|(step, step_spec)| {
+            (0..step_spec.tasks).map(move |index| HomeTask::new(step, index))
+        });
         let tasks: Vec<HomeTask> = tasks.collect();
         let mut job = HomeJob {
             id,
             waiters: vec![request],
             accepted_at: now,
-            // An end after the caller has left meets no objective.
+            // A job that ends after its caller has left does not meet its objective.
             objective_at: deadline.min(now + objective),
             deadline,
             expected_run_times,
@@ -229,31 +236,31 @@
         self.is_dirty = true;
     }
 
-    /// Whether tasks wait for owners and something changed.
+    /// Returns whether something changed since waiting tasks were last placed, and resets that.
     pub(crate) fn take_dirty(&mut self) -> bool {
         std::mem::take(&mut self.is_dirty)
     }
 
-    /// Marks waiting tasks for another look.
+    /// Requests another attempt to place waiting tasks.
     pub(crate) fn mark_dirty(&mut self) {
         self.is_dirty = true;
     }
 
-    /// A number for a batch.
+    /// Assigns the number of a new batch.
     pub(crate) fn next_batch_number(&mut self) -> u64 {
         self.last_batch_number += 1;
         self.last_batch_number
     }
 
-    /// The highest number that a batch has got.
+    /// The highest number that has been assigned to a batch.
     pub(crate) fn highest_batch_number(&self) -> u64 {
         self.last_batch_number
     }
 
-    /// Takes in how tasks ended at an owner.
+    /// Handles an owner's report of how tasks of a batch ended.
     ///
-    /// Only the batch tells attempts apart: a job that its caller submits once more numbers its runs
-    /// from one again.
+    /// Ends of other batches are ignored: a job that its caller submits again numbers its runs from
+    /// one again, so that only the batch tells the two attempts apart.
     pub(crate) fn handle_ends(
         &mut self,
         now: Timestamp,
@@ -280,13 +287,16 @@
         }
     }
 
+    /// Applies the end of a task's run.
+    ///
+    /// While an unreachable owner may still hold a lease on the run, only `Done` ends it.
     fn end_task(&mut self, now: Timestamp, key: HomeJobKey, task: usize, end: RunEnd) {
         let job = &mut self.jobs[key];
         let run = job.run(task);
         let unreachable_since = job.tasks[task].may_run_unreachable_since(now);
         if let Some(since) = unreachable_since.filter(|_| !matches!(end, RunEnd::Done { .. })) {
-            // What ended may be a run of an earlier attempt.
-            tracing::warn!(job = %job.id, run = %run, ?end, "end is no proof while an owner is out of reach");
+            // The run that ended may belong to an earlier attempt with the same numbers.
+            tracing::warn!(job = %job.id, run = %run, ?end, "end of run ignored: an unreachable owner may still run the task");
             self.set_orphaned(now, key, task, since, None);
             return self.close_empty_batches(key);
         }
@@ -306,14 +316,14 @@
                 self.counts.retried_lost += 1;
                 self.retry_task(now, key, task);
             }
-            RunEnd::TakenOver { upstream } => self.take_handed_over(now, key, task, upstream),
+            RunEnd::TakenOver { upstream } => self.handle_taken_over(now, key, task, upstream),
             RunEnd::TooSlow { work, upstream } => {
-                job.note_slow(task, work, upstream);
+                job.record_too_slow(task, work, upstream);
                 self.counts.retried_too_slow += 1;
                 self.retry_task(now, key, task);
             }
         }
-        // A step that bounds its tasks on an upstream may place the next one now.
+        // Where a step bounds its tasks per upstream, the next one may now be placed.
         self.is_dirty |= self.jobs.get(key).is_some_and(HomeJob::is_waiting);
         self.close_empty_batches(key);
     }
@@ -326,7 +336,7 @@
         job.open_tasks -= 1;
         let declared = job.spec.steps[step].declared_run_time;
         let estimate = self.estimates.entry(job.queue.name.clone()).or_default();
-        // An end that another owner found tells no run time.
+        // An end that another owner found comes without a run time.
         if !work.is_zero() {
             estimate.record_declared(declared, work);
         }
@@ -341,11 +351,11 @@
 
     fn task_failed(&mut self, now: Timestamp, key: HomeJobKey, task: usize, upstream: Arc<str>) {
         let job = &mut self.jobs[key];
-        let most = job.queue.max_attempts.max(1);
+        let max_attempts = job.queue.max_attempts.max(1);
         let state = &mut job.tasks[task];
         state.failures += 1;
         state.avoid.push(upstream);
-        if state.failures >= most {
+        if state.failures >= max_attempts {
             return self.end_job(now, key, JobEnd::Failed);
         }
         self.counts.retried_failed += 1;
@@ -374,8 +384,10 @@
         self.is_dirty = true;
     }
 
-    /// Keeps a task back for which no room was found in time, until the job's other tasks are
-    /// known to wait as well or to run.
+    /// Holds back a task that found no free capacity in time, until it is known whether another
+    /// task of the job runs.
+    ///
+    /// If one does, the overdue tasks are placed again; if all are overdue, the job is refused.
     fn set_overdue(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
         let job = &mut self.jobs[key];
         job.tasks[task].state = HomeState::Overdue;
@@ -386,10 +398,10 @@
             return self.end_unfinished(now, key, Unfinished::NotRun(NotRun::WaitedTooLong));
         }
         self.timers
-            .subscribe(now + OVERDUE_TIME, HomeTimer::Overdue(key));
+            .subscribe(now + OVERDUE_TIMEOUT, HomeTimer::OverdueTimeout(key));
     }
 
-    /// Places overdue tasks once more, ahead of jobs that have not begun.
+    /// Makes overdue tasks wait for placement again, ahead of jobs that have not begun.
     fn place_overdue(&mut self, key: HomeJobKey) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
@@ -403,7 +415,7 @@
         }
     }
 
-    /// Lets a task that runs no more start once more, while there is time.
+    /// Retries a task whose run has ended, or gives the job up if the task cannot end in time.
     fn retry_task(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
         self.jobs[key].tasks[task].retry();
         self.is_dirty = true;
@@ -413,6 +425,9 @@
         }
     }
 
+    /// Marks a run as orphaned since the last contact with its owner.
+    ///
+    /// `from` is that owner and its batch; none when another owner has taken over the upstream.
     fn set_orphaned(
         &mut self,
         now: Timestamp,
@@ -423,7 +438,7 @@
     ) {
         let job = &mut self.jobs[key];
         let age_ms = whole_ms(now.since(since));
-        tracing::info!(job = %job.id, run = %job.run(task), age_ms, ?from, "run adrift");
+        tracing::info!(job = %job.id, run = %job.run(task), age_ms, ?from, "run orphaned");
         job.tasks[task].state = HomeState::Orphaned { since, from };
         self.counts.orphaned += 1;
         let claimable_until = (since + CLAIMABLE_TIME).max(now);
@@ -431,7 +446,10 @@
         self.timers.subscribe(due, HomeTimer::OrphanTimeout(key));
     }
 
-    /// Decides about tasks adrift that nobody asked for.
+    /// Resolves orphaned runs that no owner has reported.
+    ///
+    /// A run that must have ended by now is retried. A job whose task could not end in time after
+    /// that is given up; otherwise the timer is set to the time when the run must have ended.
     fn on_orphan_timeout(&mut self, now: Timestamp, key: HomeJobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
@@ -447,10 +465,10 @@
             let Some(job) = self.jobs.get(key) else {
                 return;
             };
-            let ended_at = since + SURELY_ENDED;
+            let ended_at = since + MAX_RUN_AFTER_CONTACT;
             if ended_at <= now {
                 let age_ms = whole_ms(now.since(since));
-                tracing::info!(job = %job.id, run = %job.run(task), age_ms, "adrift run is over");
+                tracing::info!(job = %job.id, run = %job.run(task), age_ms, "orphaned run must have ended: retrying the task");
                 self.counts.retried_orphaned += 1;
                 self.retry_task(now, key, task);
             } else if ended_at + job.min_run_time(task) > job.deadline {
@@ -462,7 +480,9 @@
         }
     }
 
-    /// Takes in that an owner is out of reach or another run of its process.
+    /// Handles that an owner is unreachable or its process was replaced by another incarnation.
+    ///
+    /// The runs that it holds are orphaned.
     pub(crate) fn on_owner_unreachable(
         &mut self,
         now: Timestamp,
@@ -481,7 +501,7 @@
             if tasks.is_empty() {
                 continue;
             }
-            tracing::warn!(job = %job.id, owner = self.owner_name(owner), tasks = tasks.len(), "owner out of reach");
+            tracing::warn!(job = %job.id, owner = self.owner_name(owner), tasks = tasks.len(), "owner unreachable");
             self.jobs[key].may_have_run = true;
             for (task, batch) in tasks {
                 self.jobs[key].tasks[task].on_owner_unreachable(owner, last_contact_at);
@@ -491,10 +511,10 @@
         self.batches.retain(|(at, _), _| *at != owner);
     }
 
-    /// Takes in that the process of an owner has ended.
+    /// Detaches orphaned runs from an owner whose process has ended.
     ///
-    /// The next one counts the batches that it takes anew: what it says of them is no word about
-    /// those of the process before.
+    /// The next incarnation counts its accepted batches from the start, so that its reports say
+    /// nothing about the batches of the one before.
     pub(crate) fn forget_owner_incarnation(&mut self, owner: OwnerRef) {
         let tasks = self.jobs.values_mut().flat_map(|job| &mut job.tasks);
         for task in tasks {
@@ -504,10 +524,10 @@
         }
     }
 
-    /// Takes in runs that the next owner of an upstream found there.
+    /// Handles runs that the new owner of an upstream found there.
     ///
-    /// They may be of an earlier attempt, which numbered its runs as this one does. Those of tasks
-    /// whose owner is in reach wait for its word.
+    /// They may belong to an earlier attempt, which numbered its runs in the same way. What was
+    /// found of a task whose owner is reachable is kept until that owner reports the takeover.
     pub(crate) fn handle_found_runs(
         &mut self,
         now: Timestamp,
@@ -528,44 +548,45 @@
                 found_at: now,
                 end,
             };
-            self.take_found(now, run, found);
+            self.handle_found_run(now, run, found);
         }
     }
 
-    fn take_found(&mut self, now: Timestamp, run: RunId, found: FoundRun) {
+    /// Ends or moves a task by what another owner found of its run, or keeps the finding.
+    fn handle_found_run(&mut self, now: Timestamp, run: RunId, found: FoundRun) {
         let Some((key, task)) = self.claimable(run) else {
             return;
         };
         let state = &self.jobs[key].tasks[task];
-        let is_surely_there = state.is_surely_on(now, &found.upstream);
-        let may_be_there = state.handed_over_on.is_none() || is_surely_there;
-        let is_placed_at = match state.state {
+        let is_certainly_there = state.is_certainly_on(now, &found.upstream);
+        let may_be_there = state.taken_over_on.is_none() || is_certainly_there;
+        let placed_at = match state.state {
             HomeState::Placed { owner, .. } => Some(owner),
             _ => None,
         };
         tracing::info!(
             job = %run.task.job, run = %run, upstream = %found.upstream, end = ?found.end,
-            owner = self.owner_name(found.owner), state = ?state.state, is_surely_there,
-            "run found by another owner"
+            owner = self.owner_name(found.owner), state = ?state.state,
+            is_surely_there = is_certainly_there, "run found by another owner"
         );
         match found.end {
-            // A task that is done is done, whichever attempt ran it.
-            Some(end) if is_surely_there || matches!(end, RunEnd::Done { .. }) => {
+            // A task that is done stays done, whichever attempt ran it.
+            Some(end) if is_certainly_there || matches!(end, RunEnd::Done { .. }) => {
                 self.counts.count_found(&end);
                 self.end_task(now, key, task, end);
             }
-            None if is_placed_at.is_none() && may_be_there => {
+            None if placed_at.is_none() && may_be_there => {
                 self.move_task(now, key, task, found.owner, &found.upstream);
             }
-            _ if is_placed_at.is_some_and(|owner| owner != found.owner) => {
+            _ if placed_at.is_some_and(|owner| owner != found.owner) => {
                 self.found.insert(run, found);
             }
             _ => {}
         }
     }
 
-    /// Takes in that the owner of a run has lost its upstream to another one.
-    fn take_handed_over(
+    /// Handles the report of a run's owner that another owner has taken over the upstream.
+    fn handle_taken_over(
         &mut self,
         now: Timestamp,
         key: HomeJobKey,
@@ -576,13 +597,13 @@
         self.set_orphaned(now, key, task, now, None);
         let found = self.found.swap_remove(&run);
         let found = found.filter(|found| found.is_recent(now) && found.upstream == upstream);
-        self.jobs[key].tasks[task].handed_over_on = Some(upstream);
+        self.jobs[key].tasks[task].taken_over_on = Some(upstream);
         if let Some(found) = found {
-            self.take_found(now, run, found);
+            self.handle_found_run(now, run, found);
         }
     }
 
-    /// The open task of a run that some owner had.
+    /// The task of a run that another owner may claim; none unless it is placed or orphaned.
     fn claimable(&self, run: RunId) -> Option<(HomeJobKey, usize)> {
         let key = *self.by_id.get(&run.task.job)?;
         let task = self.jobs[key].task_of(run)?;
@@ -592,6 +613,7 @@
         }
     }
 
+    /// Moves a running task to the owner that found it, which is asked to adopt the run.
     fn move_task(
         &mut self,
         now: Timestamp,
@@ -614,7 +636,10 @@
         });
     }
 
-    /// Takes in which batches an owner holds; those that it does not hold have ended unheard.
+    /// Compares the open batches at an owner with those that it reports as held.
+    ///
+    /// A batch that is not held, although the owner has accepted it or it must be lost, has ended
+    /// without a report: its tasks are retried, or orphaned where the batch was an adoption.
     pub(crate) fn reconcile_batches(
         &mut self,
         now: Timestamp,
@@ -625,7 +650,7 @@
         self.resolve_orphans(now, owner, held, highest_taken);
         let missing = self.batches.iter().filter(|((at, number), batch)| {
             let was_taken = *number <= highest_taken;
-            let was_lost = now.since(batch.sent_at) >= BATCH_ON_ITS_WAY;
+            let was_lost = now.since(batch.sent_at) >= MAX_BATCH_TRANSIT;
             *at == owner && !held.contains(number) && (was_taken || was_lost)
         });
         let missing: Vec<(u64, HomeJobKey, bool)> = missing
@@ -645,10 +670,10 @@
                 tracing::warn!(
                     job = %job.id, run = %job.run(task), batch = number, highest_taken,
                     owner = self.owner_name(owner), is_adoption,
-                    "batch not held by its owner"
+                    "owner does not hold the batch"
                 );
                 if is_adoption {
-                    // The owner never took charge of what runs: it may still run.
+                    // The owner never adopted the run, which may still go on.
                     self.set_orphaned(now, key, task, now, None);
                 } else {
                     self.retry_ended(now, key, task);
@@ -657,7 +682,10 @@
         }
     }
 
-    /// Decides about tasks adrift whose owner is heard again.
+    /// Resolves orphaned runs of an owner that is reachable again.
+    ///
+    /// Runs of batches that it still holds are placed there again; runs of batches that it has
+    /// accepted and no longer holds are retried.
     fn resolve_orphans(
         &mut self,
         now: Timestamp,
@@ -684,7 +712,7 @@
                 let is_held = held.contains(&batch);
                 tracing::info!(
                     job = %job.id, run = %job.run(task), batch, highest_taken, is_held,
-                    "owner of an adrift run heard again"
+                    "owner of an orphaned run reachable again"
                 );
                 if is_held {
                     job.tasks[task].on_owner_reachable(owner);
@@ -702,7 +730,7 @@
         }
     }
 
-    /// The tasks of a job in some state; none when the job has ended.
+    /// The tasks of a job whose state satisfies `is_wanted`; none when the job has ended.
     fn tasks_in(&self, key: HomeJobKey, is_wanted: impl Fn(HomeState) -> bool) -> Vec<usize> {
         let Some(job) = self.jobs.get(key) else {
             return Vec::new();
@@ -712,7 +740,7 @@
         wanted.map(|(task, _)| task).collect()
     }
 
-    /// Starts a task over whose run has surely ended without word of how.
+    /// Retries a task whose run has ended without a report.
     fn retry_ended(&mut self, now: Timestamp, key: HomeJobKey, task: usize) {
         if let Some(job) = self.jobs.get_mut(key) {
             job.may_have_run = true;
@@ -721,7 +749,7 @@
         }
     }
 
-    /// Gives up jobs of which a task waits that could no longer end in time.
+    /// Gives up jobs with a waiting task of known run time that can no longer end in time.
     pub(crate) fn end_infeasible(&mut self, now: Timestamp) {
         let infeasible = self.jobs.iter().filter(|(_, job)| {
             let mut tasks = (0..job.tasks.len()).filter(|task| {
@@ -736,7 +764,7 @@
         }
     }
 
-    /// Takes back a batch that was never sent.
+    /// Handles that a batch was not sent: its tasks wait for an owner again.
     pub(crate) fn handle_unsent_batch(&mut self, now: Timestamp, owner: OwnerRef, number: u64) {
         let Some(batch) = self.batches.swap_remove(&(owner, number)) else {
             return;
@@ -761,6 +789,7 @@
         self.is_dirty = true;
     }
 
+    /// Removes the batches of a job that no longer have a placed task.
     fn close_empty_batches(&mut self, key: HomeJobKey) {
         let job = self.jobs.get(key);
         self.batches.retain(|(owner, number), batch| {
@@ -775,7 +804,7 @@
         });
     }
 
-    /// The message that hands tasks to an owner; they count as placed from now on.
+    /// Marks tasks as placed at an owner and returns the batch to send to it.
     pub(crate) fn create_batch(
         &mut self,
         now: Timestamp,
@@ -803,7 +832,10 @@
         job.to_batch(now, number, tasks)
     }
 
-    /// Begins to end a job of which nothing may have run yet; other tasks' ends are awaited shortly.
+    /// Starts to end a job unfinished.
+    ///
+    /// A job of which something may have run is given up at once. Any other waits briefly for the
+    /// ends of its placed tasks, so that its callers can be told whether anything ran.
     fn begin_ending(&mut self, now: Timestamp, key: HomeJobKey, reason: NotRun) {
         let job = &mut self.jobs[key];
         if job.may_have_run {
@@ -814,10 +846,10 @@
             return self.end_unfinished(now, key, Unfinished::NotRun(reason));
         }
         self.timers
-            .subscribe(now + ENDING_TIME, HomeTimer::Ending(key));
+            .subscribe(now + ENDING_TIMEOUT, HomeTimer::EndingTimeout(key));
     }
 
-    /// Ends a job that has run to its end, well or not.
+    /// Ends a job with an outcome that is kept for repeated requests, and answers its callers.
     fn end_job(&mut self, now: Timestamp, key: HomeJobKey, end: JobEnd) {
         let Some(job) = self.remove(key) else {
             return;
@@ -825,13 +857,13 @@
         log_end(now, &job, &end.to_string());
         self.ended.insert(job.id, end);
         self.timers
-            .subscribe(now + KEEP_ANSWER, HomeTimer::Forget(job.id));
+            .subscribe(now + ANSWER_RETENTION, HomeTimer::ForgetAnswer(job.id));
         for request in job.waiters {
             self.answer(request, RunAnswer::Ended(end));
         }
     }
 
-    /// Gives a job up, and tells its callers at once.
+    /// Ends a job that does not complete, and answers its callers.
     pub(crate) fn end_unfinished(&mut self, now: Timestamp, key: HomeJobKey, why: Unfinished) {
         let Some(job) = self.remove(key) else {
             return;
@@ -855,16 +887,16 @@
         }
     }
 
-    /// Takes a job out and stops what is left of it.
+    /// Removes a job and cancels its open batches.
     fn remove(&mut self, key: HomeJobKey) -> Option<HomeJob> {
         let job = self.jobs.remove(key)?;
         self.by_id.swap_remove(&job.id);
         for request in &job.waiters {
             self.requests.swap_remove(request);
         }
-        let of_job = self.batches.extract_if(.., |_, batch| batch.job == key);
+        let job_batches = self.batches.extract_if(.., |_, batch| batch.job == key);
         let mut cancels: IndexMap<OwnerRef, Vec<u64>> = IndexMap::new();
-        for ((owner, number), _) in of_job {
+        for ((owner, number), _) in job_batches {
             cancels.entry(owner).or_default().push(number);
         }
         let is_open = |owner: OwnerRef, number: u64| {
@@ -887,7 +919,7 @@
         self.outputs.push(HomeOutput::Answer { request, answer });
     }
 
-    /// Takes in that a caller went away; its job ends when nobody else waits.
+    /// Removes the request of a caller that left; its job ends when no other caller waits for it.
     pub(crate) fn drop_request(&mut self, now: Timestamp, request: RequestId) {
         let Some(key) = self.requests.swap_remove(&request) else {
             return;
@@ -899,7 +931,7 @@
         }
     }
 
-    /// Cancels a job; false when it is not known here.
+    /// Cancels a job; returns false when it is not known here.
     pub(crate) fn cancel(&mut self, now: Timestamp, id: JobId) -> bool {
         if let Some(key) = self.by_id.get(&id).copied() {
             self.end_job(now, key, JobEnd::Cancelled);
@@ -921,7 +953,7 @@
         }))
     }
 
-    /// How many jobs of each queue wait without a task started, as far as is known here.
+    /// The number of jobs of each queue none of whose tasks is placed or may have run.
     pub(crate) fn waiting(&self) -> Vec<WaitingJobs> {
         let mut waiting: IndexMap<Arc<str>, u64> = IndexMap::new();
         for job in self.jobs.values() {
@@ -935,26 +967,27 @@
             .collect()
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub(crate) fn run_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                HomeTimer::Deadline(key) => self.pass_deadline(now, key),
-                HomeTimer::Ending(key) => self.ending_overdue(now, key),
-                HomeTimer::Overdue(key) => self.place_overdue(key),
+                HomeTimer::Deadline(key) => self.on_deadline(now, key),
+                HomeTimer::EndingTimeout(key) => self.on_ending_timeout(now, key),
+                HomeTimer::OverdueTimeout(key) => self.place_overdue(key),
                 HomeTimer::OrphanTimeout(key) => self.on_orphan_timeout(now, key),
-                HomeTimer::Forget(id) => {
+                HomeTimer::ForgetAnswer(id) => {
                     self.ended.swap_remove(&id);
                 }
             }
         }
     }
 
-    fn pass_deadline(&mut self, now: Timestamp, key: HomeJobKey) {
+    /// Ends a job whose deadline has passed.
+    fn on_deadline(&mut self, now: Timestamp, key: HomeJobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
-        let is_stopping = self.is_over_by(now);
+        let is_stopping = self.is_stopped_by(now);
         let why = match (job.may_have_run || job.is_placed(), is_stopping) {
             (true, true) => Unfinished::GivenUp(GivenUp::Stopping),
             (true, false) => Unfinished::GivenUp(GivenUp::Deadline),
@@ -964,36 +997,38 @@
         self.end_unfinished(now, key, why);
     }
 
-    /// Lets no job last longer than the process, which gives its last answers then.
+    /// Limits the deadlines of open jobs to the time when the stopping instance gives its last
+    /// answers.
     pub(crate) fn stop(&mut self, last_answers_at: Timestamp) {
         self.last_answers_at = Some(last_answers_at);
         for (key, job) in &mut self.jobs {
             if job.deadline > last_answers_at {
-                job.limit_to(last_answers_at);
+                job.limit_deadline(last_answers_at);
                 self.timers
                     .subscribe(last_answers_at, HomeTimer::Deadline(key));
             }
         }
     }
 
-    /// Whether the process gives no answers any more at that time.
-    pub(crate) fn is_over_by(&self, at: Timestamp) -> bool {
+    /// Whether the instance, which is stopping, has given its last answers by then.
+    pub(crate) fn is_stopped_by(&self, at: Timestamp) -> bool {
         self.last_answers_at.is_some_and(|last| last <= at)
     }
 
-    /// The part of a caller's wait that the process lives to see.
-    pub(crate) fn time_left(&self, now: Timestamp, wait: Duration) -> Duration {
+    /// Limits a caller's wait to the time until the stopping instance gives its last answers.
+    pub(crate) fn limit_wait(&self, now: Timestamp, wait: Duration) -> Duration {
         self.last_answers_at
             .map_or(wait, |last| wait.min(last.since(now)))
     }
 
-    fn ending_overdue(&mut self, now: Timestamp, key: HomeJobKey) {
+    /// Gives up an ending job whose other tasks have not been reported ended in time.
+    fn on_ending_timeout(&mut self, now: Timestamp, key: HomeJobKey) {
         if self.jobs.contains_key(key) {
             self.end_unfinished(now, key, Unfinished::GivenUp(GivenUp::Deadline));
         }
     }
 
-    /// The batches that are open at an owner.
+    /// The numbers of the batches that are open at an owner.
     pub(crate) fn open_batches_at(&self, owner: OwnerRef) -> Vec<u64> {
         let open = self.batches.keys().filter(|(at, _)| *at == owner);
         open.map(|(_, number)| *number).collect()
@@ -1005,10 +1040,10 @@
     }
 }
 
-/// When to come back after a refusal for load where nothing better is known.
+/// When a caller should retry after a refusal for load, unless a longer wait is known.
 pub(crate) const RETRY_AFTER_OVERLOAD: Duration = Duration::from_secs(1);
 
-/// The time within which a job is to end.
+/// The time after its acceptance within which a job is to end.
 pub(crate) fn objective(
     queue: &JobQueueSettings,
     spec: &JobSpec,
@@ -1018,7 +1053,7 @@
     chain * queue.stretch_percent.max(100) / 100 + queue.target_duration
 }
 
-/// The expected run time of the longest chain of steps.
+/// The expected run time of the longest chain of dependent steps.
 pub(crate) fn longest_chain(spec: &JobSpec, expected_run_times: &[Duration]) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(expected_run_times.len());
     for (step, run) in spec.steps.iter().zip(expected_run_times) {
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -1,4 +1,4 @@
-//! A job at its home.
+//! The state of a job at its home.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use crate::id::RequestId;
 use crate::time::Timestamp;
 
-/// A job that has not ended.
+/// A job that has not ended, with its tasks and the requests that wait for it.
 #[derive(Debug)]
 pub(crate) struct HomeJob {
     pub(crate) id: JobId,
@@ -32,24 +32,25 @@
     pub(crate) accepted_at: Timestamp,
     pub(crate) objective_at: Timestamp,
     pub(crate) deadline: Timestamp,
-    /// The expected run time of a task, by step.
+    /// The expected run time of a task on an upstream of usual speed, by step.
     pub(crate) expected_run_times: Vec<Duration>,
-    /// The tasks that are not done, by step.
+    /// The number of tasks that are not done, by step.
     pub(crate) open_by_step: Vec<u32>,
     pub(crate) tasks: Vec<HomeTask>,
     pub(crate) open_tasks: usize,
-    /// Whether some run may have started.
+    /// Whether a run of the job may have started.
     pub(crate) may_have_run: bool,
-    /// Whether a task was placed where it could start at once.
+    /// Whether a task was placed at an owner with free capacity for it, or placed again after it
+    /// was overdue.
     pub(crate) has_begun: bool,
-    /// Why it will end unfinished, once that is known.
+    /// Why nothing of it ran, while it waits for the ends of its placed tasks.
     pub(crate) ending: Option<NotRun>,
     pub(crate) placements: u32,
-    /// Since when no owner has been in reach for its waiting tasks.
+    /// Since when no owner has been reachable for its waiting tasks.
     pub(crate) no_owner_since: Option<Timestamp>,
 }
 
-/// How a job ends that does not complete.
+/// Why a job ends without completing, failing or being cancelled through the API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Unfinished {
     NotRun(NotRun),
@@ -57,7 +58,7 @@
 }
 
 impl HomeJob {
-    /// The run of a task.
+    /// The name of a task's current run.
     pub(crate) fn run(&self, task: usize) -> RunId {
         let HomeTask {
             step, index, run, ..
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The task with this name and number of start.
+    /// The index of the task whose current run this is; none when there is none.
     pub(crate) fn task_of(&self, run: RunId) -> Option<usize> {
         let mut tasks = self.tasks.iter();
         tasks.position(|task| {
@@ -81,16 +82,17 @@
         })
     }
 
-    /// The number of tasks.
+    /// The number of tasks of all steps.
     pub(crate) fn task_count(&self) -> u32 {
         u32::try_from(self.tasks.len()).unwrap_or(u32::MAX)
     }
 
-    /// Takes in that a task was stopped on an upstream for its progress there.
+    /// Records that a task was stopped on an upstream because it progressed too slowly there.
     ///
-    /// Far more than expected may be the upstream's fault: only a second one that says so is
-    /// believed.
-    pub(crate) fn note_slow(&mut self, task: usize, work: Duration, upstream: Arc<str>) {
+    /// `work` is its predicted run time on an upstream of usual speed. A time far above the
+    /// expected one may be the upstream's fault, and counts as known only once a second upstream
+    /// shows one too.
+    pub(crate) fn record_too_slow(&mut self, task: usize, work: Duration, upstream: Arc<str>) {
         let task = &mut self.tasks[task];
         task.avoid.push(upstream);
         let expected = self.expected_run_times[task.step as usize];
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Lets it last no longer than to a time.
-    pub(crate) fn limit_to(&mut self, deadline: Timestamp) {
+    /// Limits its deadline and objective to a time.
+    pub(crate) fn limit_deadline(&mut self, deadline: Timestamp) {
         self.deadline = self.deadline.min(deadline);
         self.objective_at = self.objective_at.min(deadline);
     }
@@ -114,7 +116,7 @@
         tasks.any(|task| task.state == HomeState::Waiting)
     }
 
-    /// Whether an owner has a task.
+    /// Whether an owner has a task, or may still run one while it is unreachable.
     pub(crate) fn is_placed(&self) -> bool {
         let mut tasks = self.tasks.iter();
         tasks.any(|task| {
@@ -125,7 +127,7 @@
         })
     }
 
-    /// Lets the tasks wait for owners whose earlier steps are done.
+    /// Makes blocked tasks wait for an owner where all the steps that they depend on are done.
     pub(crate) fn unblock(&mut self) {
         for task in &mut self.tasks {
             if task.state != HomeState::Blocked {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The time that a task started now would still need in the best case.
+    /// The least time that a run of the task takes on any upstream.
     pub(crate) fn min_run_time(&self, task: usize) -> Duration {
         let task = &self.tasks[task];
         match task.known_run_time {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Whether a task started now could no longer end before the caller leaves, which is logged.
+    /// Whether a task started now could not end before the deadline; logs that if so.
     pub(crate) fn is_infeasible(&self, now: Timestamp, task: usize) -> bool {
         let min_run_time = self.min_run_time(task);
         let is_infeasible = now + min_run_time > self.deadline;
@@ -156,13 +158,13 @@
             tracing::info!(
                 job = %self.id, run = %self.run(task), least_run_ms = whole_ms(min_run_time),
                 left_ms = whole_ms(self.deadline.since(now)),
-                "task could no longer end in time"
+                "task can no longer end before the deadline"
             );
         }
         is_infeasible
     }
 
-    /// The task as one that looks for an upstream.
+    /// The task's run time and time limits, as the choice of an upstream needs them.
     pub(crate) fn placement_request(&self, now: Timestamp, task: usize) -> PlacementRequest {
         let task = &self.tasks[task];
         let expected_run_time = self.expected_run_times[task.step as usize];
@@ -175,11 +177,11 @@
     }
 }
 
-/// How much longer than expected a run must be to be doubted.
+/// A run time of at least this many times the expected one needs a second upstream to confirm it.
 const SUSPICIOUS_FACTOR: u32 = 3;
 
 impl HomeJob {
-    /// The message that hands tasks to an owner.
+    /// The batch that places tasks at an owner.
     pub(crate) fn to_batch(&self, now: Timestamp, number: u64, tasks: &[usize]) -> RunBatch {
         let mut steps: Vec<u32> = tasks.iter().map(|task| self.tasks[*task].step).collect();
         steps.sort_unstable();
@@ -221,7 +223,7 @@
     }
 }
 
-/// The time from `now` to `at` in microseconds, negative when `at` has passed.
+/// The time from `now` to `at` in microseconds, negative if `at` has passed.
 fn signed_us(now: Timestamp, at: Timestamp) -> i64 {
     let us = |timestamp: Timestamp| i64::try_from(timestamp.as_us()).unwrap_or(i64::MAX);
     us(at).saturating_sub(us(now))
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -1,4 +1,4 @@
-//! A task at its job's home.
+//! The state of a task at its job's home.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,71 +6,75 @@
 use super::owner_choice::OwnerRef;
 use crate::time::Timestamp;
 
-/// How long after its owner was last heard a run has surely ended.
+/// How long after the last contact with its owner a run can still go on.
 ///
-/// Either side of a cut notices after 600 ms and up to a heartbeat of 150 ms, which may have come a
-/// heartbeat later at the other side; cut off from the upstream too, the owner renews a lease for
-/// the last time then, which lasts a second on a clock that may be 3 % slow.
-pub(crate) const SURELY_ENDED: Duration = Duration::from_millis(1_930);
+/// After a network partition each side notices the other's silence after 600 ms and up to one
+/// heartbeat of 150 ms, and the last heartbeat may have arrived 150 ms later on the other side. If
+/// the owner is cut off from the upstream too, it renews the lease for the last time then; the lease
+/// lasts 1 s on a clock that may be 3 % slow.
+pub(crate) const MAX_RUN_AFTER_CONTACT: Duration = Duration::from_millis(1_930);
 
-/// One task.
+/// A task of a job, with its current run and where it is placed.
 #[derive(Debug)]
 pub(crate) struct HomeTask {
     pub(crate) step: u32,
     pub(crate) index: u32,
+    /// The number of its current run, from one.
     pub(crate) run: u32,
     pub(crate) failures: u32,
-    /// Its run time on an upstream of usual speed, where its progress has shown it.
+    /// Its run time on an upstream of usual speed, if its progress has shown it.
     pub(crate) known_run_time: Option<Duration>,
-    /// What its progress on one upstream predicted, which may have been that upstream's fault.
+    /// The run time that its progress on one upstream predicted and no other has confirmed.
     pub(crate) suspected_run_time: Option<Duration>,
+    /// The upstreams where it failed, was lost or ran too slowly.
     pub(crate) avoid: Vec<Arc<str>>,
     pub(crate) state: HomeState,
-    /// The upstream of its run, where an owner that lost the upstream has named it.
-    pub(crate) handed_over_on: Option<Arc<str>>,
-    /// The owner out of reach that may still run it.
+    /// The upstream of its run, if its owner has reported that another one took the upstream over.
+    pub(crate) taken_over_on: Option<Arc<str>>,
+    /// The unreachable owner that may still run it.
     pub(crate) unreachable_owner: Option<UnreachableOwner>,
 }
 
-/// Where a task is.
+/// The placement of a task, as its home knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HomeState {
-    /// Earlier steps are not done.
+    /// A step that it depends on is not done.
     Blocked,
     /// It waits for an owner.
     Waiting,
-    /// An owner has it.
+    /// It was sent to an owner.
     Placed {
         /// The owner.
         owner: OwnerRef,
-        /// The batch.
+        /// The number of the batch.
         batch: u64,
     },
-    /// It may still run, and nobody who says so is in reach.
+    /// Its run may go on, and no reachable owner reports it.
     Orphaned {
-        /// Since when.
+        /// The last contact with its owner.
         since: Timestamp,
-        /// The owner out of reach and its batch; none when another owner has the upstream.
+        /// The unreachable owner and its batch; none when the owner's process has ended or another
+        /// owner has the upstream.
         from: Option<(OwnerRef, u64)>,
     },
-    /// Its owner had no room until its objective had passed; what is known of the job's other
-    /// tasks decides about it.
+    /// Its owner had no free capacity for it before its job's objective passed. It is placed again
+    /// if another task of the job runs.
     Overdue,
     /// It is done.
     Done,
 }
 
-/// An owner that went out of reach with a run.
+/// An owner that became unreachable while it held a run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnreachableOwner {
     /// The owner; none when there were several.
     owner: Option<OwnerRef>,
-    /// When it was last heard.
+    /// The last contact with it, or the latest with any of several.
     since: Timestamp,
 }
 
 impl HomeTask {
-    /// A task that has not started.
+    /// A task that has not started, blocked until its step may start.
     pub(crate) fn new(step: u32, index: u32) -> Self {
         HomeTask {
             step,
@@ -81,46 +85,48 @@
             suspected_run_time: None,
             avoid: Vec::new(),
             state: HomeState::Blocked,
-            handed_over_on: None,
+            taken_over_on: None,
             unreachable_owner: None,
         }
     }
 
-    /// Notes that an owner went out of reach that may go on with the run.
+    /// Records that an owner that may go on with the run became unreachable; `since` is the last
+    /// contact with it.
     pub(crate) fn on_owner_unreachable(&mut self, owner: OwnerRef, since: Timestamp) {
         let earlier = self.unreachable_owner.take();
-        let is_other = earlier.is_some_and(|lost| lost.owner != Some(owner));
+        let is_other = earlier.is_some_and(|unreachable| unreachable.owner != Some(owner));
         self.unreachable_owner = Some(UnreachableOwner {
             owner: (!is_other).then_some(owner),
-            since: earlier.map_or(since, |lost| lost.since.max(since)),
+            since: earlier.map_or(since, |unreachable| unreachable.since.max(since)),
         });
-        self.handed_over_on = None;
+        self.taken_over_on = None;
     }
 
-    /// Notes that an owner that went out of reach answers for the run again.
+    /// Records that an owner that was unreachable reports the run again.
     pub(crate) fn on_owner_reachable(&mut self, owner: OwnerRef) {
         self.unreachable_owner
-            .take_if(|lost| lost.owner == Some(owner));
+            .take_if(|unreachable| unreachable.owner == Some(owner));
     }
 
-    /// Since when a run of this number may go on at an owner out of reach; none when none may.
+    /// The last contact with the unreachable owner that may go on with this run; none when no
+    /// unreachable owner can hold a lease on it any more.
     pub(crate) fn may_run_unreachable_since(&self, now: Timestamp) -> Option<Timestamp> {
         let since = self.unreachable_owner?.since;
-        (since + SURELY_ENDED > now).then_some(since)
+        (since + MAX_RUN_AFTER_CONTACT > now).then_some(since)
     }
 
-    /// Whether its run, which no owner in reach has, can only be on this upstream.
-    pub(crate) fn is_surely_on(&self, now: Timestamp, upstream: &str) -> bool {
+    /// Whether its orphaned run can only be on this upstream.
+    pub(crate) fn is_certainly_on(&self, now: Timestamp, upstream: &str) -> bool {
         matches!(self.state, HomeState::Orphaned { .. })
             && self.may_run_unreachable_since(now).is_none()
-            && self.handed_over_on.as_deref() == Some(upstream)
+            && self.taken_over_on.as_deref() == Some(upstream)
     }
 
-    /// Lets it start once more under the next number.
+    /// Makes it wait for an owner again, with the next run number.
     pub(crate) fn retry(&mut self) {
         self.run += 1;
         self.state = HomeState::Waiting;
-        self.handed_over_on = None;
+        self.taken_over_on = None;
         self.unreachable_owner = None;
     }
 }
--- a/lib/src/runs/intended_state.rs
+++ b/lib/src/runs/intended_state.rs
@@ -1,4 +1,4 @@
-//! The operators' intended state, as far as leased runs need it.
+//! The intended state that operators set: the part of it that leased runs need.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,40 +7,41 @@
 
 use super::run_id::JobId;
 
-/// The whole intended state of one version.
+/// One version of the queues, services and limits that operators want in force.
 #[value]
 #[derive(Default)]
 pub struct IntendedState {
-    /// The version; it only rises.
+    /// The version; an instance replaces a state only by one of a higher version.
     pub version: u64,
     /// The queues that callers submit jobs to.
     pub queues: Vec<Arc<JobQueueSettings>>,
     /// The services whose upstreams run tasks.
     pub services: Vec<RunService>,
-    /// The bounds on callers' requests.
+    /// The limits on callers' requests.
     pub limits: RequestLimits,
 }
 
-/// A queue: where jobs come in, and how they are to be run.
+/// A queue: where callers submit jobs, and how these are to be run.
 #[value]
 pub struct JobQueueSettings {
     /// The unique name.
     pub name: Arc<str>,
-    /// The host that callers name.
+    /// The host name in callers' requests, without a port.
     pub host: Arc<str>,
-    /// What the paths of its jobs begin with.
+    /// The prefix of the paths of its jobs.
     pub path_prefix: Arc<str>,
     /// The service that runs its tasks.
     pub service: Arc<str>,
-    /// Its rank among queues; zero comes first.
+    /// Its rank among queues; zero is served first.
     pub priority: u32,
-    /// How often a task may run and fail.
+    /// The number of failed runs of a task after which its job has failed.
     pub max_attempts: u32,
-    /// The factor on a job's longest chain within which it is to end, in hundredths.
+    /// The factor in percent on the expected run time of a job's longest chain of steps. The
+    /// product plus `target_duration` is the job's objective.
     pub stretch_percent: u32,
-    /// The time on top of the stretched chain within which a job is to end.
+    /// The time that is added to the stretched chain for a job's objective.
     pub target_duration: Duration,
-    /// How long a request may take whose caller names no time.
+    /// How long a job may take if its caller names no time.
     pub timeout: Option<Duration>,
 }
 
@@ -49,21 +50,21 @@
 pub struct RunService {
     /// The unique name.
     pub name: Arc<str>,
-    /// Whether its upstreams refuse tasks that exceed their room.
+    /// Whether its upstreams refuse tasks that exceed their free capacity.
     pub enforces_capacity: bool,
 }
 
-/// The bounds on callers' requests.
+/// The limits on callers' requests.
 #[value]
 #[derive(Copy, Default)]
 pub struct RequestLimits {
-    /// The longest request head in bytes.
+    /// Maximum length of the request head in bytes.
     pub head_bytes: Option<u64>,
-    /// The longest request body in bytes.
+    /// Maximum length of the request body in bytes.
     pub body_bytes: Option<u64>,
 }
 
-/// What a request's host and path name.
+/// The queue that a request's host and path name, and the rest of the path.
 #[derive(Clone, Copy, Debug)]
 pub struct Target<'a> {
     /// The queue.
@@ -73,14 +74,14 @@
 }
 
 impl Target<'_> {
-    /// The job that the rest of the path names.
+    /// The job that the rest of the path names; none when it is not a job's name.
     pub fn job(&self) -> Option<JobId> {
         JobId::parse(self.rest)
     }
 }
 
 impl IntendedState {
-    /// The queue of the host with the longest prefix of `path`.
+    /// The queue of `host` with the longest prefix of `path`; a port in `host` is ignored.
     pub fn target<'a>(&'a self, host: &str, path: &'a str) -> Option<Target<'a>> {
         let host = host.split_once(':').map_or(host, |(name, _port)| name);
         let of_host = self.queues.iter().filter(|queue| &*queue.host == host);
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -1,4 +1,4 @@
-//! What a caller asks to run.
+//! The job that a caller submits, and the checks that do not depend on load.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,22 +7,23 @@
 
 use super::resources::Resources;
 
-/// The most tasks of one job.
+/// Maximum number of tasks of a job.
 pub const MAX_JOB_TASKS: u32 = 2_000;
 
-/// The most steps of one job.
+/// Maximum number of steps of a job.
 pub const MAX_JOB_STEPS: usize = 64;
 
-/// A job: steps of equal tasks, some after others.
+/// A job: steps of equal tasks, where a step may depend on earlier ones.
 #[value]
 pub struct JobSpec {
-    /// The text that goes with each start.
+    /// Opaque text that is sent to the upstream with each start of a task.
     pub spec: Arc<str>,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// Whether the job has to outlive its home: its caller comes back for its state.
+    /// Whether the job must survive the loss of its home, so that its caller can ask for its state
+    /// later.
     pub durable: bool,
-    /// Whether the job runs at several times.
+    /// Whether the job is to run repeatedly.
     pub recurring: bool,
 }
 
@@ -30,56 +31,56 @@
 #[value]
 #[derive(Default)]
 pub struct StepSpec {
-    /// How many tasks it has.
+    /// The number of its tasks.
     pub tasks: u32,
-    /// What each task needs.
+    /// The resources that each task needs.
     pub demand: Resources,
-    /// The caller's rough figure for the run time of one task.
+    /// The caller's estimate of the run time of one task, zero if it has none.
     pub declared_run_time: Duration,
-    /// The earlier steps all of whose tasks must be done first.
+    /// The earlier steps, by number from zero, whose tasks must all be done first.
     pub after: Vec<u32>,
     /// A label that the upstream must have.
     pub required_label: Option<Arc<str>>,
-    /// The rack where the data is; elsewhere the tasks take longer.
+    /// The rack that holds the tasks' data; on upstreams elsewhere the tasks take longer.
     pub data_rack: Option<Arc<str>>,
-    /// The most tasks of the step on one upstream.
+    /// Maximum number of the step's tasks on one upstream at a time.
     pub most_per_upstream: Option<u32>,
-    /// What the step asks for that is not offered yet.
+    /// A feature that the step asks for and that is not supported yet.
     pub unsupported: Option<Unsupported>,
 }
 
-/// A kind of work that is not offered yet.
+/// A feature of jobs that is not supported yet.
 #[value]
 #[derive(Copy, derive_more::Display)]
 pub enum Unsupported {
-    /// Tasks that work only together.
+    /// Tasks that must all run at the same time.
     #[display("gang")]
     Gang,
     /// Tasks that run until the job is cancelled.
     #[display("long_running")]
     LongRunning,
-    /// Tasks that use what others leave unused.
+    /// Tasks that use only capacity that others leave unused.
     #[display("fills")]
     Fills,
-    /// Jobs that are kept.
+    /// Jobs that survive the loss of their home.
     #[display("durable")]
     Durable,
-    /// Jobs that run at several times.
+    /// Jobs that run repeatedly.
     #[display("recurring")]
     Recurring,
 }
 
-/// Why a job cannot be taken, whatever the load.
+/// Why a job is invalid, whatever the load.
 #[value]
 #[derive(Copy, derive_more::Display)]
 pub enum SpecFault {
-    /// It has no tasks, or more than the bound.
+    /// It has no tasks, or more tasks or steps than the maximum.
     #[display("task_count")]
     TaskCount,
-    /// A step comes after itself or after a later one.
+    /// A step depends on itself or on a later one.
     #[display("step_order")]
     StepOrder,
-    /// It asks for work of a kind that is not offered yet.
+    /// It asks for a feature that is not supported yet.
     #[display("unsupported_{_0}")]
     Unsupported(Unsupported),
 }
@@ -91,11 +92,11 @@
         counts.fold(0, u32::saturating_add)
     }
 
-    /// Checks what holds whatever the load.
+    /// Checks the job without regard to load.
     ///
     /// # Errors
     ///
-    /// Why the job can never be taken.
+    /// The reason why the job can never be accepted.
     pub fn check(&self) -> Result<(), SpecFault> {
         let tasks = self.task_count();
         if tasks == 0 || tasks > MAX_JOB_TASKS || self.steps.len() > MAX_JOB_STEPS {
@@ -119,7 +120,7 @@
         by_step.or(recurring).or(durable)
     }
 
-    /// The declared run time of the longest chain of steps.
+    /// The declared run time of the longest chain of dependent steps.
     pub fn declared_chain(&self) -> Duration {
         let mut ends: Vec<Duration> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an owner for each task: where it fits now, else where it waits least.
+//! The choice of an owner for a task: one with free capacity, else the one with the shortest queue.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,19 +20,22 @@
 pub(crate) enum OwnerRef {
     /// This instance.
     Own,
-    /// Another one.
+    /// Another instance.
     Peer(PeerKey),
 }
 
-/// How near an owner is; nearer ones come first.
+/// How near an owner is; nearer ones are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
+    /// This instance.
     Own,
+    /// Another instance in the same data centre.
     SameDataCentre,
+    /// An instance in another data centre.
     Elsewhere,
 }
 
-/// What is known of an owner's load, with what was placed there since.
+/// An owner's last reported load for one service, plus the tasks that were placed there since.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnerView {
     pub(crate) owner: OwnerRef,
@@ -42,12 +45,13 @@
     pub(crate) queued_core_ms: u64,
 }
 
-/// Where a task goes, and how long it is expected to wait there.
+/// The owner chosen for a task, and how long the task is expected to wait there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Choice {
+pub(crate) struct OwnerChoice {
+    /// The index of the owner's view.
     pub(crate) view: usize,
     pub(crate) wait: Duration,
-    /// Whether an upstream there has room for it now, as far as is known here.
+    /// Whether an upstream there has free capacity for it, by the load known so far.
     pub(crate) has_capacity: bool,
 }
 
@@ -62,57 +66,62 @@
         }
     }
 
-    /// How long work that comes now waits, as if all cores there worked off the queue together.
+    /// How long a new task waits if all cores there share the queued work evenly.
     fn wait(&self) -> Duration {
         let cores = u64::from(self.total.cpu_millicores / 1_000).max(1);
         Duration::from_millis(self.queued_core_ms / cores)
     }
 
-    /// The work that waits there, as a share of a core-millisecond for each core.
-    fn pressure(&self) -> u64 {
+    /// The queued work for each core, in microseconds.
+    fn queued_us_per_core(&self) -> u64 {
         let cores = u64::from(self.total.cpu_millicores / 1_000).max(1);
         self.queued_core_ms.saturating_mul(1_000) / cores
     }
 }
 
-/// Chooses an owner for one task and counts the task there.
+/// Chooses an owner for one task and adds the task to that owner's load.
+///
+/// An owner with free capacity is preferred; otherwise the one with the least queued work for each
+/// core.
 pub(crate) fn choose_owner(
     views: &mut [OwnerView],
     demand: Resources,
     task: &PlacementRequest,
     avoid: &[Arc<str>],
     constraints: &mut StepConstraints,
-) -> Option<Choice> {
-    if let Some((view, upstream)) = fitting(views, demand, task, avoid, constraints) {
+) -> Option<OwnerChoice> {
+    if let Some((view, upstream)) = find_free_upstream(views, demand, task, avoid, constraints) {
         constraints.count_task(views[view].owner);
         views[view].free[upstream].free -= demand;
         let wait = Duration::ZERO;
-        return Some(Choice {
+        return Some(OwnerChoice {
             view,
             wait,
             has_capacity: true,
         });
     }
     if task.is_run_known {
-        // Only an upstream that is fast enough helps, and none is free: the home looks again.
+        // Only a free upstream that is fast enough helps. The task keeps waiting at its home.
         return None;
     }
     let waiting = views.iter().enumerate();
     let waiting = waiting
         .filter(|(_, view)| demand.fits(view.total) && constraints.has_remaining(view.owner));
-    let (view, least) = waiting.min_by_key(|(_, view)| (view.pressure(), view.distance))?;
+    let (view, least) =
+        waiting.min_by_key(|(_, view)| (view.queued_us_per_core(), view.distance))?;
     let wait = least.wait();
     constraints.count_task(least.owner);
     views[view].queued_core_ms += core_ms(demand.cpu_millicores, task.expected_run_time);
-    Some(Choice {
+    Some(OwnerChoice {
         view,
         wait,
         has_capacity: false,
     })
 }
 
-/// The best upstream with room for a task now, by its owner's place and its own.
-fn fitting(
+/// The best upstream with free capacity for a task: the index of its owner's view and its index
+/// there.
+fn find_free_upstream(
     views: &[OwnerView],
     demand: Resources,
     task: &PlacementRequest,
@@ -120,15 +129,15 @@
     constraints: &StepConstraints,
 ) -> Option<(usize, usize)> {
     let avoid: Vec<u32> = avoid.iter().map(|upstream| name_hash(upstream)).collect();
-    let mut places = Vec::new();
+    let mut positions = Vec::new();
     let mut candidates = Vec::new();
-    let reached = views.iter().enumerate();
-    for (index, view) in reached.filter(|(_, view)| constraints.has_remaining(view.owner)) {
-        for (place, upstream) in view.free.iter().enumerate() {
+    let indexed = views.iter().enumerate();
+    for (index, view) in indexed.filter(|(_, view)| constraints.has_remaining(view.owner)) {
+        for (position, upstream) in view.free.iter().enumerate() {
             if !demand.fits(upstream.free) || !constraints.allows(upstream.name_hash) {
                 continue;
             }
-            places.push((index, place));
+            positions.push((index, position));
             candidates.push(CandidateUpstream {
                 avoided: avoid.contains(&upstream.name_hash),
                 far_from_data: constraints.is_far_from_data(upstream.name_hash),
@@ -139,5 +148,5 @@
         }
     }
     let chosen = SlowestInTime.choose(task, &candidates)?;
-    Some(places[chosen])
+    Some(positions[chosen])
 }
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -1,4 +1,4 @@
-//! Which owner gets which waiting task.
+//! Placement: which owner gets which waiting task.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 use crate::time::Timestamp;
 
 impl RunDispatcher {
-    /// The owners of a service's upstreams that take work now.
+    /// The owners that accept tasks of a service now, with their known load.
     pub(crate) fn owner_views(&self, service: &str) -> Vec<OwnerView> {
         let mut views = Vec::new();
         let own_loads = self.owner.loads(self.now);
@@ -42,7 +42,7 @@
         views
     }
 
-    /// Hands waiting tasks to owners, those of the most pressing jobs first.
+    /// Places waiting tasks at owners, jobs with the earliest objective first.
     pub(crate) fn place_waiting(&mut self) {
         if !self.home.take_dirty() {
             return;
@@ -55,11 +55,11 @@
         let mut views: IndexMap<Arc<str>, Vec<OwnerView>> = IndexMap::new();
         for (_, key) in waiting {
             let service = self.home.jobs[key].queue.service.clone();
-            let of_service = match views.get_mut(&service) {
-                Some(of_service) => of_service,
+            let service_views = match views.get_mut(&service) {
+                Some(service_views) => service_views,
                 None => {
-                    let of_service = self.owner_views(&service);
-                    views.entry(service).or_insert(of_service)
+                    let service_views = self.owner_views(&service);
+                    views.entry(service).or_insert(service_views)
                 }
             };
             let mut step_constraints =
@@ -70,13 +70,14 @@
                 &mut self.home,
                 self.now,
                 key,
-                of_service,
+                service_views,
                 &mut step_constraints,
             );
         }
     }
 }
 
+/// The owner with this instance name; none when no such instance is known.
 fn owner_named(own: &str, peers: &PeerTable, name: &str) -> Option<OwnerRef> {
     match name == own {
         true => Some(OwnerRef::Own),
@@ -84,7 +85,7 @@
     }
 }
 
-/// Where the tasks of each step of a job may go.
+/// The constraints on where the tasks of each step of a job may be placed.
 fn step_constraints(
     job: &HomeJob,
     roster: &Roster,
@@ -108,7 +109,7 @@
     step_constraints.collect()
 }
 
-/// Hands the waiting tasks of a job to owners.
+/// Places the waiting tasks of a job at owners, one batch for each owner.
 fn place_job(
     home: &mut Home,
     now: Timestamp,
--- a/lib/src/runs/requesting.rs
+++ b/lib/src/runs/requesting.rs
@@ -1,4 +1,4 @@
-//! What a caller's request leads to.
+//! Callers' requests: to submit, look up or cancel a job.
 
 use std::time::Duration;
 
@@ -11,6 +11,7 @@
 use crate::id::RequestId;
 
 impl RunDispatcher {
+    /// Handles a caller's request; answers it at once unless it waits for a job.
     pub(crate) fn handle_request(
         &mut self,
         request: RequestId,
@@ -28,7 +29,7 @@
                 None => Some(RunAnswer::NoSuchQueue),
                 Some(target) => match kind {
                     RequestKind::Submit(spec) => self.submit(request, &target, spec, wait),
-                    RequestKind::LookUp => Some(self.look(&target)),
+                    RequestKind::LookUp => Some(self.look_up(&target)),
                     RequestKind::Cancel => Some(self.cancel(&target)),
                 },
             },
@@ -42,7 +43,8 @@
         }
     }
 
-    fn look(&self, target: &Target<'_>) -> RunAnswer {
+    /// The state of a job, or the number of jobs of the queue that wait at reachable instances.
+    fn look_up(&self, target: &Target<'_>) -> RunAnswer {
         if let Some(job) = target.job() {
             return self.home.look_up(job).unwrap_or(RunAnswer::NoSuchJob);
         }
@@ -58,6 +60,7 @@
         RunAnswer::Waiting(of_queue.map(|waiting| waiting.jobs).sum())
     }
 
+    /// Cancels a job here, or asks the other instances to cancel it if its home is elsewhere.
     fn cancel(&mut self, target: &Target<'_>) -> RunAnswer {
         let Some(job) = target.job() else {
             return RunAnswer::NoSuchJob;
@@ -70,6 +73,7 @@
     }
 }
 
+/// The answer for a job of which nothing ran.
 pub(crate) fn not_run(reason: NotRun, retry_after: Option<Duration>) -> RunAnswer {
     RunAnswer::NotRun {
         reason,
--- a/lib/src/runs/run_answer.rs
+++ b/lib/src/runs/run_answer.rs
@@ -7,40 +7,40 @@
 
 use super::job_spec::SpecFault;
 
-/// The answer to a caller's request.
+/// The answer to a caller's request, before it becomes an HTTP response.
 #[value]
 pub enum RunAnswer {
     /// No queue has this host and path.
     NoSuchQueue,
-    /// The queue's path names no job.
+    /// The rest of the path is not the name of a job that is known here.
     NoSuchJob,
     /// Nothing of the job ran, and nothing will.
     NotRun {
-        /// Why.
+        /// Why nothing ran.
         reason: NotRun,
-        /// When to come back; none where coming back cannot help.
+        /// How long the caller should wait before it retries; none if a retry cannot help.
         retry_after: Option<Duration>,
     },
     /// The job has ended.
     Ended(JobEnd),
-    /// Some of the job ran or may have run; it is given up.
+    /// The job is given up after some of it ran or may have run.
     GivenUp(GivenUp),
     /// The state of a job that has not ended.
     State(JobProgress),
-    /// The job is cancelled.
+    /// The job was cancelled by this request.
     Cancelled,
-    /// How many accepted jobs of the queue have not started.
+    /// The number of accepted jobs of the queue that have not started.
     Waiting(u64),
 }
 
-/// How a job ended.
+/// The outcome of a job that ended.
 #[value]
 #[derive(Copy, Display)]
 pub enum JobEnd {
     /// Every task is done.
     #[display("completed")]
     Completed,
-    /// A task failed as often as it may.
+    /// A task used up its attempts, or an upstream found its order invalid.
     #[display("failed")]
     Failed,
     /// Its caller cancelled it.
@@ -48,14 +48,14 @@
     Cancelled,
 }
 
-/// How far an open job is.
+/// The state of an open job.
 #[value]
 #[derive(Copy, Display)]
 pub enum JobProgress {
-    /// No task has started.
+    /// No task has started or was sent to an owner.
     #[display("queued")]
     Queued,
-    /// A task has started.
+    /// A task has started, or was sent to an owner.
     #[display("running")]
     Running,
 }
@@ -70,19 +70,19 @@
     /// The job can never be taken.
     #[display("{_0}")]
     Spec(SpecFault),
-    /// No listed upstream could ever run one of its tasks.
+    /// No listed upstream has the capacity and the label that one of its tasks needs.
     #[display("needs_no_upstream_has")]
     NeedsNoUpstreamHas,
-    /// No upstream of its service is in reach now.
+    /// No owner of an upstream of its service is reachable, or its placements were refused too often.
     #[display("no_upstream_in_reach")]
     NoUpstreamInReach,
-    /// It would end after its caller has left.
+    /// By the current load it would end after its caller has left.
     #[display("overloaded")]
     Overloaded,
     /// It waited until it could no longer end in time.
     #[display("waited_too_long")]
     WaitedTooLong,
-    /// As many jobs are open as may.
+    /// The maximum number of open jobs is reached.
     #[display("too_many_jobs")]
     TooManyJobs,
     /// This instance is stopping.
@@ -97,10 +97,11 @@
     /// It could no longer end in time.
     #[display("deadline")]
     Deadline,
-    /// The owner of an upstream that ran a task is gone.
+    /// The owner of a running task is unreachable, and the task could not end in time if it were
+    /// retried.
     #[display("owner_lost")]
     OwnerLost,
-    /// The caller left or cancelled.
+    /// The caller left.
     #[display("cancelled")]
     Cancelled,
     /// This instance exits before the job ends.
--- a/lib/src/runs/run_counts.rs
+++ b/lib/src/runs/run_counts.rs
@@ -1,10 +1,11 @@
-//! Counts of what a home decided.
+//! Counters of a home's decisions about jobs and tasks.
 
 use super::home_job::Unfinished;
 use super::run_answer::GivenUp;
 use super::run_message::RunEnd;
 
-/// How often a home decided what, since its process started.
+/// How many jobs a home gave up, how many tasks it retried and how many runs were orphaned or found
+/// ended, since its process started.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunCounts {
     given_up_no_time_left: u64,
@@ -24,7 +25,9 @@
 }
 
 impl RunCounts {
-    /// Counts a job that ends unfinished.
+    /// Counts a job that is given up; a job of which nothing ran is not counted.
+    ///
+    /// `is_limit_passed` tells whether its deadline has passed.
     pub(crate) fn count_unfinished(&mut self, why: Unfinished, is_limit_passed: bool) {
         let Unfinished::GivenUp(why) = why else {
             return;
@@ -38,7 +41,7 @@
         }
     }
 
-    /// Counts an end that another owner found and that was taken for one of an open task.
+    /// Counts an end that another owner found and that was applied to an open task.
     pub(crate) fn count_found(&mut self, end: &RunEnd) {
         match end {
             RunEnd::Done { .. } => self.found_done += 1,
@@ -47,7 +50,7 @@
         }
     }
 
-    /// The jobs given up, by reason.
+    /// The number of jobs given up, by the metric's label of the reason.
     pub fn given_up(&self) -> [(&'static str, u64); 5] {
         [
             ("no_time_left", self.given_up_no_time_left),
@@ -58,7 +61,7 @@
         ]
     }
 
-    /// The tasks started over, by reason.
+    /// The number of task retries, by the metric's label of the reason.
     pub fn retried(&self) -> [(&'static str, u64); 5] {
         [
             ("lost", self.retried_lost),
@@ -69,7 +72,8 @@
         ]
     }
 
-    /// The ends of open tasks that another owner found, by how they ended.
+    /// The number of ends of open tasks that another owner found, by the metric's label of the
+    /// outcome.
     pub fn found_ends(&self) -> [(&'static str, u64); 3] {
         [
             ("done", self.found_done),
@@ -78,7 +82,7 @@
         ]
     }
 
-    /// The runs for which no owner in reach answered.
+    /// How often a run was orphaned: it may go on, and no reachable owner reports it.
     pub fn orphaned(&self) -> u64 {
         self.orphaned
     }
--- a/lib/src/runs/run_digest.rs
+++ b/lib/src/runs/run_digest.rs
@@ -1,4 +1,4 @@
-//! An instance's short report of its load.
+//! The digest of an instance's load that heartbeats carry to other instances.
 
 use std::sync::Arc;
 
@@ -7,57 +7,57 @@
 
 use super::resources::Resources;
 
-/// The load of one instance.
+/// The load and state of one instance.
 #[value]
 #[derive(Default)]
 pub struct RunDigest {
     /// The load by service.
     pub services: Vec<RunLoad>,
-    /// The queues whose jobs wait at this instance, as home, without a task started.
+    /// The queues with jobs that wait at this home without a task started.
     pub waiting: Vec<WaitingJobs>,
-    /// The version of the intended state that it holds, zero when none.
+    /// The version of the intended state that it holds, zero if it holds none.
     pub intended_version: u64,
-    /// Whether it is stopping and takes no new work.
+    /// Whether it is stopping and accepts no new tasks.
     pub leaving: bool,
 }
 
-/// What an instance can run of one service.
+/// The load of the upstreams of one service that an instance owns.
 #[value]
 pub struct RunLoad {
     /// The service.
     pub service: Arc<str>,
-    /// Each upstream that takes tasks now.
+    /// Each upstream that accepts tasks now.
     pub free: Vec<FreeUpstream>,
-    /// The room of all upstreams in reach, used or free.
+    /// The capacity of all its reachable upstreams, used or free.
     pub total: Resources,
-    /// The work that waits here, in milliseconds of one core.
+    /// The expected work of its queued tasks, in milliseconds of one core.
     pub queued_core_ms: u64,
-    /// The tasks that wait here.
+    /// The number of its queued tasks.
     pub queued_tasks: u32,
 }
 
-/// An upstream that takes tasks now.
+/// An upstream that accepts tasks now, with its free capacity.
 #[value]
 #[derive(Copy)]
 pub struct FreeUpstream {
-    /// A short form of its name, [`name_hash`].
+    /// The hash of its name, [`name_hash`].
     pub name_hash: u32,
-    /// What no run uses.
+    /// The capacity that no run uses.
     pub free: Resources,
-    /// The measured run times there over the expected ones, in hundredths.
+    /// The ratio of measured to expected run times there, in percent.
     pub slowness_percent: u32,
 }
 
-/// A short form of an upstream's name, enough to tell those of one service apart.
+/// A 32-bit hash of an upstream's name, enough to tell the upstreams of one service apart.
 pub fn name_hash(upstream: &str) -> u32 {
     xxh3_64_with_seed(upstream.as_bytes(), 0) as u32
 }
 
-/// Jobs of one queue that wait.
+/// The number of jobs of one queue that wait at a home.
 #[value]
 pub struct WaitingJobs {
     /// The queue.
     pub queue: Arc<str>,
-    /// How many of its jobs have not started.
+    /// The number of its jobs that have not started.
     pub jobs: u64,
 }
