--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -202,7 +202,7 @@
             declared_run_us: to_us(demand.declared_run_time),
             required_label: demand.required_label.map(|label| label.to_string()),
             data_rack: demand.data_rack.map(|rack| rack.to_string()),
-            most_per_upstream: demand.most_per_upstream,
+            most_per_upstream: demand.max_tasks_per_upstream,
         }
     }
 }
@@ -218,7 +218,7 @@
             declared_run_time: Duration::from_micros(demand.declared_run_us),
             required_label: optional_name("run_batch.demands.label", demand.required_label)?,
             data_rack: optional_name("run_batch.demands.data_rack", demand.data_rack)?,
-            most_per_upstream: demand.most_per_upstream,
+            max_tasks_per_upstream: demand.most_per_upstream,
         })
     }
 }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -204,9 +204,9 @@
         } = new;
         let objective = objective(&queue, &spec, &expected_run_times);
         let deadline = now + wait.saturating_sub(ANSWER_MARGIN);
-        let tasks = (0..).zip(&spec.steps).flat_map(|(step, step_spec)| {
-            (0..step_spec.tasks).map(move |index| HomeTask::new(step, index))
-        });
+        let tasks = (0..)
+            .zip(&spec.steps)
+            .flat_map(|(step, spec)| (0..spec.tasks).map(move |index| HomeTask::new(step, index)));
         let tasks: Vec<HomeTask> = tasks.collect();
         let mut job = HomeJob {
             id,
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -195,7 +195,7 @@
                 declared_run_time: spec.declared_run_time,
                 required_label: spec.required_label.clone(),
                 data_rack: spec.data_rack.clone(),
-                most_per_upstream: spec.most_per_upstream,
+                max_tasks_per_upstream: spec.max_tasks_per_upstream,
             }
         });
         let placed = tasks.iter().map(|task| {
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -44,7 +44,7 @@
     /// The rack that holds the tasks' data; on upstreams elsewhere the tasks take longer.
     pub data_rack: Option<Arc<str>>,
     /// Maximum number of the step's tasks on one upstream at a time.
-    pub most_per_upstream: Option<u32>,
+    pub max_tasks_per_upstream: Option<u32>,
     /// A feature that the step asks for and that is not supported yet.
     pub unsupported: Option<Unsupported>,
 }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -652,7 +652,7 @@
     /// Whether one more task of the step may run on the upstream.
     fn is_within_limit(&self, on: LeasedUpstreamKey, key: HeldBatchKey, task: TaskIndex) -> bool {
         let batch = &self.batches[key];
-        let Some(most) = batch.demand(task).most_per_upstream else {
+        let Some(most) = batch.demand(task).max_tasks_per_upstream else {
             return true;
         };
         let name = batch.run(task).task;
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -133,7 +133,7 @@
     /// The rack where the data is.
     pub data_rack: Option<Arc<str>>,
     /// The most tasks of the step on one upstream.
-    pub most_per_upstream: Option<u32>,
+    pub max_tasks_per_upstream: Option<u32>,
 }
 
 /// One task of a batch.
--- a/lib/src/runs/step_constraints.rs
+++ b/lib/src/runs/step_constraints.rs
@@ -33,7 +33,7 @@
     ) -> Self {
         let label = step.required_label.as_deref();
         let rack = step.data_rack.as_deref();
-        let max_per_upstream = step.most_per_upstream.unwrap_or(u32::MAX);
+        let max_tasks = step.max_tasks_per_upstream.unwrap_or(u32::MAX);
         let mut labelled = IndexSet::new();
         let mut near_data = IndexSet::new();
         let mut remaining: IndexMap<OwnerRef, u32> = IndexMap::new();
@@ -48,15 +48,15 @@
             let can_take = !upstream.draining && step.demand.fits(upstream.capacity);
             if let Some(owner) = owner.filter(|_| can_take) {
                 let remaining = remaining.entry(owner).or_default();
-                *remaining = remaining.saturating_add(max_per_upstream);
+                *remaining = remaining.saturating_add(max_tasks);
             }
         }
-        for owner in placed.filter(|_| step.most_per_upstream.is_some()) {
+        for owner in placed.filter(|_| step.max_tasks_per_upstream.is_some()) {
             if let Some(remaining) = remaining.get_mut(&owner) {
                 *remaining = remaining.saturating_sub(1);
             }
         }
-        let is_bounded = label.is_some() || step.most_per_upstream.is_some();
+        let is_bounded = label.is_some() || step.max_tasks_per_upstream.is_some();
         StepConstraints {
             labelled: label.map(|_| labelled),
             near_data: rack.map(|_| near_data),
@@ -68,7 +68,7 @@
     pub(crate) fn is_needed(step: &StepSpec) -> bool {
         step.required_label.is_some()
             || step.data_rack.is_some()
-            || step.most_per_upstream.is_some()
+            || step.max_tasks_per_upstream.is_some()
     }
 
     /// Whether an owner can get one more task.
--- a/lib/tests/step_needs.rs
+++ b/lib/tests/step_needs.rs
@@ -1,4 +1,5 @@
-//! What a step asks of its upstreams: labels, racks, and how many tasks on one.
+//! The constraints of a step: a required label, the rack of its data, and the maximum number of
+//! tasks on one upstream.
 
 use std::sync::Arc;
 
@@ -27,8 +28,9 @@
     answer == Some(&RunAnswer::Ended(JobEnd::Completed))
 }
 
+/// Guards against a job that waits for an upstream that does not exist.
 #[test]
-fn label_that_no_upstream_has_is_refused_at_once() {
+fn job_with_a_label_that_no_upstream_has_is_refused_at_once() {
     let mut site = started();
     site.submit(0, "look", "00000000000000aa", &labelled_job(1, "big"));
     site.run_ms(1);
@@ -40,8 +42,10 @@
     assert_eq!(*answer, refusal);
 }
 
+/// Guards against tasks that are placed on upstreams without the required label, or at owners that
+/// have no upstream with it.
 #[test]
-fn labelled_tasks_find_the_one_upstream_that_has_it() {
+fn tasks_run_on_the_only_upstream_with_their_label() {
     for labelled in 0..12 {
         let mut site = started();
         site.label_upstream(labelled, "big");
@@ -56,11 +60,12 @@
     }
 }
 
+/// Guards against more tasks of a step on one upstream than the step allows.
 #[test]
-fn one_task_on_an_upstream_spreads_the_step() {
+fn limit_of_one_task_for_each_upstream_spreads_the_step() {
     let mut site = started();
     let mut job = run_job(12, 1_000, 100);
-    job.steps[0].most_per_upstream = Some(1);
+    job.steps[0].max_tasks_per_upstream = Some(1);
     site.submit(0, "look", "00000000000000aa", &job);
     site.run_ms(600);
     assert!(is_completed(&site, "00000000000000aa"));
@@ -69,8 +74,9 @@
     }
 }
 
+/// Guards against tasks that run away from their data while an upstream near it is free.
 #[test]
-fn tasks_go_to_the_rack_of_their_data() {
+fn tasks_run_in_the_rack_of_their_data() {
     for near in 0..12 {
         let mut site = started();
         site.label_upstream(near, "rack-1");
