--- a/lib/tests/caller_wait.rs
+++ b/lib/tests/caller_wait.rs
@@ -1,4 +1,4 @@
-//! A job may take as long as its caller waits, whatever its queue's timeout is.
+//! The limit on a job's duration: its caller's wait, else its queue's timeout, else the default.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
     answer.is_some_and(|answer| matches!(answer.answer, RunAnswer::GivenUp(_)))
 }
 
-/// Guards against jobs given up by their queue's timeout while their callers still wait.
+/// Guards against a job that is given up at its queue's timeout while its caller still waits.
 #[test]
 fn job_longer_than_its_queue_timeout_ends_while_its_caller_waits() {
     let mut site = started(Some(6_000));
@@ -49,22 +49,23 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against a limit that follows the caller's only where the caller waits short.
+/// Guards against a caller's wait that is applied only if it is shorter than the queue's timeout: a
+/// task that cannot end within it is given up as soon as its progress shows that.
 #[test]
-fn task_too_long_for_its_caller_is_given_up_at_once() {
+fn task_too_long_for_its_caller_is_given_up_early() {
     let mut site = started(Some(3_000));
     let work = Duration::from_millis(8_000);
     site.submit_work(0, "look", ID, &run_job(1, 6_800, 900), work);
     site.run_ms(1_500);
     assert!(is_given_up(&site, ID), "{:?}", site.answer(ID));
-    // Known after a look at its progress on each of two upstreams.
+    // Known after the task's progress has been checked on each of two upstreams.
     assert!(took_ms(&site, ID) < 1_000);
     assert_eq!(site.running(), 0);
 }
 
-/// Guards against a job that nothing limits because its caller says nothing.
+/// Guards against a job without a limit because its caller names no wait.
 #[test]
-fn silent_caller_waits_for_the_queue_timeout() {
+fn queue_timeout_limits_a_job_whose_caller_names_no_wait() {
     let mut site = started(None);
     let work = Duration::from_millis(1_700);
     site.submit_work(0, "look", ID, &run_job(1, 6_800, 900), work);
@@ -72,9 +73,9 @@
     assert!(is_given_up(&site, ID), "{:?}", site.answer(ID));
 }
 
-/// Guards against a default that replaces the timeout of a queue.
+/// Guards against a default timeout that takes precedence over the queue's.
 #[test]
-fn queue_timeout_goes_before_the_default() {
+fn queue_timeout_takes_precedence_over_the_default() {
     let mut plan = SitePlan::new(2, 2, 6);
     plan.queues[0].timeout = Some(Duration::from_secs(5));
     let mut site = start(&plan, None);
@@ -84,42 +85,44 @@
     assert!(is_completed(&site, ID), "{:?}", site.answer(ID));
 }
 
-/// Guards against a wait so long that the end of it is past all time.
+/// Guards against an overflow of the deadline when a caller names the longest possible wait.
 #[test]
-fn endless_wait_is_taken() {
+fn longest_possible_wait_is_accepted() {
     let mut site = started(Some(u64::MAX));
     site.submit(0, "look", ID, &run_job(30, 6_800, 200));
     site.run_ms(1_000);
     assert!(is_completed(&site, ID), "{:?}", site.answer(ID));
 }
 
-/// How long jobs' tasks run on average, in milliseconds.
-const MEAN_RUN_MS: f64 = 900.0;
+/// The median run time of a job's tasks, in milliseconds.
+const MEDIAN_RUN_MS: f64 = 900.0;
 
-/// The spread of the logarithm of the run times.
-const SPREAD: f64 = 0.4;
+/// The standard deviation of the natural logarithm of the run times.
+const LOG_DEVIATION: f64 = 0.4;
 
-/// How many jobs come, one every 400 ms: they keep 40 % of the upstreams' room busy.
+/// The number of jobs, submitted every 400 ms: they use 40 % of the upstreams' capacity.
 const JOBS: u64 = 150;
 
-/// A run time, by chance: a sum of uniform shares is close to a normal one.
-fn chance_run_ms(site: &mut RunSite) -> u64 {
+/// A random run time in milliseconds with a roughly log-normal distribution: a sum of uniform
+/// variables is close to a normal one.
+fn random_run_ms(site: &mut RunSite) -> u64 {
     let sum: u64 = (0..12).map(|_| site.chance(1_000)).sum();
     let normal = (sum as f64 - 6_000.0) / 1_000.0;
-    (MEAN_RUN_MS * (SPREAD * normal).exp()) as u64
+    (MEDIAN_RUN_MS * (LOG_DEVIATION * normal).exp()) as u64
 }
 
-/// Guards against large jobs that are served less often than the others of their queue.
+/// Guards against large jobs that complete less often than the other jobs of their queue.
 #[test]
-fn largest_jobs_are_served_like_the_others() {
+fn largest_jobs_complete_like_the_others() {
     let mut site = started(None);
     let mut jobs = Vec::new();
     for number in 1..=JOBS {
         let id = format!("{number:016x}");
         let tasks = 2 + site.chance(5);
-        let run_ms = chance_run_ms(&mut site);
+        let run_ms = random_run_ms(&mut site);
         let declared_ms = run_ms * (60 + site.chance(81)) / 100;
-        // The callers of this kind of job wait for three times its objective and 1.5 s.
+        // Callers wait for 1.5 s plus three times the objective, which is 1.6 times the run time
+        // plus 60 ms.
         let wait_ms = 1_500 + 3 * (run_ms * 8 / 5 + 60);
         site.set_caller_wait(Some(Duration::from_millis(wait_ms)));
         let node = number as usize % site.nodes();
--- a/lib/tests/calm_runs.rs
+++ b/lib/tests/calm_runs.rs
@@ -1,4 +1,4 @@
-//! Leased runs on a calm day: every job completes, about as fast as its longest task.
+//! Leased runs without faults or overload: jobs complete about as fast as their longest task.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     site.run_ms(500);
     let answer = &site.answer("00000000000000aa").expect("an answer").answer;
     assert_eq!(*answer, RunAnswer::Ended(JobEnd::Completed));
-    // The longest task and 10 ms, as the users' target for an idle site.
+    // The longest task plus 10 ms, the users' target for an idle site.
     assert!(took_ms(&site, "00000000000000aa") <= 70);
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
@@ -50,7 +50,7 @@
     let mut site = started();
     site.submit(0, "look", "00000000000000ab", &run_job(24, 6_800, 100));
     site.run_ms(500);
-    // 12 upstreams take two tasks each: only all of them together run the job at once.
+    // 12 upstreams run two tasks each, so that the job needs all of them to run at once.
     assert!(took_ms(&site, "00000000000000ab") <= 110);
     assert!((0..site.upstreams()).all(|upstream| site.starts_at(upstream) == 2));
 }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn unservable_job_is_refused_at_once() {
+fn job_that_fits_no_upstream_is_refused_at_once() {
     let mut site = started();
     site.submit(0, "look", "00000000000000ae", &run_job(1, 20_000, 50));
     site.run_ms(1);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn unknown_queue_is_none() {
+fn job_for_an_unknown_queue_is_refused() {
     let mut site = started();
     site.submit(0, "other", "00000000000000af", &run_job(1, 1_000, 50));
     site.run_ms(1);
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn same_job_again_joins_or_repeats() {
+fn repeated_job_joins_the_open_one_or_gets_its_outcome() {
     let mut site = started();
     let job = run_job(2, 6_800, 200);
     site.submit(0, "look", "00000000000000b0", &job);
@@ -125,7 +125,8 @@
     site.run_ms(1_000);
     let answer = site.answer("00000000000000b1").expect("an answer");
     assert!(matches!(answer.answer, RunAnswer::GivenUp(_)));
-    // Known after a look at its progress on each of two upstreams, not only when its caller leaves.
+    // Known after its progress has been checked on each of two upstreams, well before its caller
+    // leaves.
     assert!(took_ms(&site, "00000000000000b1") < 750);
     assert_eq!(site.running(), 0);
 }
--- a/lib/tests/failure_budget.rs
+++ b/lib/tests/failure_budget.rs
@@ -1,4 +1,4 @@
-//! How often a task may fail.
+//! The maximum number of attempts of a task that fails.
 
 use almondhead_lib::runs::run_answer::JobEnd;
 use almondhead_lib::runs::run_answer::RunAnswer;
@@ -8,11 +8,12 @@
 use almondhead_testsupport::run_site::run_job;
 use almondhead_testsupport::run_site::run_queue;
 
+/// Guards against a failing task that gets more or fewer attempts than its queue allows.
 #[test]
-fn task_starts_as_often_as_its_queue_lets_it_fail() {
-    for most in 1..=4 {
+fn failing_task_gets_the_attempts_of_its_queue() {
+    for max_attempts in 1..=4 {
         let mut site = RunSite::start(&SitePlan {
-            queues: vec![run_queue("look", 0, most)],
+            queues: vec![run_queue("look", 0, max_attempts)],
             ..SitePlan::new(2, 2, 6)
         });
         site.run_ms(1_000);
@@ -24,6 +25,6 @@
         let answer = site.answer("00000000000000aa").expect("an answer");
         assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Failed));
         let starts: u64 = (0..site.upstreams()).map(|up| site.starts_at(up)).sum();
-        assert_eq!(starts, u64::from(most));
+        assert_eq!(starts, u64::from(max_attempts));
     }
 }
--- a/lib/tests/intended_changes.rs
+++ b/lib/tests/intended_changes.rs
@@ -1,4 +1,4 @@
-//! How a change of the intended state comes into force.
+//! How a change of the intended state comes into force at every instance.
 
 use almondhead_lib::runs::run_answer::JobEnd;
 use almondhead_lib::runs::run_answer::RunAnswer;
@@ -12,8 +12,8 @@
     site
 }
 
-/// The instances that know the queue.
-fn knowing(site: &mut RunSite, queue: &str, round: usize) -> usize {
+/// The number of instances that complete a job of the queue; `round` keeps the jobs' names unique.
+fn count_serving(site: &mut RunSite, queue: &str, round: usize) -> usize {
     let ids: Vec<String> = (0..site.nodes())
         .map(|node| format!("{:016x}", 1_000 * round + node))
         .collect();
@@ -26,8 +26,9 @@
     done.count()
 }
 
+/// Guards against instances that keep an old state while they cannot read the store.
 #[test]
-fn change_that_one_instance_read_is_in_force_at_all() {
+fn change_that_one_instance_read_reaches_all() {
     let mut site = started();
     for node in 1..site.nodes() {
         site.cut_from_store(node, true);
@@ -35,9 +36,10 @@
     site.read_intended(0, 2, &["look", "find"]);
     site.run_ms(2_000);
     let nodes = site.nodes();
-    assert_eq!(knowing(&mut site, "find", 1), nodes);
+    assert_eq!(count_serving(&mut site, "find", 1), nodes);
 }
 
+/// Guards against an older state that replaces a newer one when a read of the store is stale.
 #[test]
 fn older_version_is_never_installed() {
     let mut site = started();
@@ -50,5 +52,5 @@
         site.read_intended(node, 2, &["look"]);
     }
     site.run_ms(2_000);
-    assert_eq!(knowing(&mut site, "find", 1), nodes);
+    assert_eq!(count_serving(&mut site, "find", 1), nodes);
 }
--- a/lib/tests/reused_names.rs
+++ b/lib/tests/reused_names.rs
@@ -1,5 +1,5 @@
-//! Names that come again: runs of a job that its caller submits once more, and batches at an owner
-//! whose process has started again.
+//! Names that are used again: runs of a job that its caller submits again, and batch numbers after
+//! the process of an owner or a home has restarted.
 
 use almondhead_lib::runs::run_answer::JobEnd;
 use almondhead_lib::runs::run_answer::RunAnswer;
@@ -29,12 +29,12 @@
     }
 }
 
-/// Guards against an end of an earlier attempt that is taken for one of the current attempt, whose
-/// task then starts over while it runs.
+/// Guards against the end of an earlier attempt's run being applied to the current attempt, whose
+/// task would then be retried while it runs.
 #[test]
-fn end_of_an_earlier_attempt_starts_nothing_over() {
+fn end_of_an_earlier_attempt_retries_nothing() {
     let mut site = started();
-    // Longer than a lease, so that the run of the first attempt lapses.
+    // Longer than a lease, so that the lease of the first attempt's run expires.
     let job = run_job(1, 6_800, 1_300);
     site.submit(0, "look", JOB, &job);
     site.run_ms(50);
@@ -44,7 +44,7 @@
     site.run_ms(1_300);
     site.submit(0, "look", JOB, &job);
     site.run_ms(200);
-    // The owner reads there that the run of the first attempt has lapsed.
+    // The upstream now reports to its owner that the lease of the first attempt's run expired.
     set_path(&mut site, upstream, None);
     site.run_ms(1_500);
     assert!(site.violations().is_empty(), "{:?}", site.violations());
@@ -52,18 +52,18 @@
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
 }
 
-/// Guards against a batch that counts as ended because a later life of its owner has taken others
-/// with higher numbers, while its runs go on.
+/// Guards against a batch that counts as ended, while its runs go on, because a later incarnation
+/// of its owner has accepted batches with higher numbers.
 #[test]
 fn later_incarnation_of_an_owner_ends_no_earlier_batch() {
     let mut site = started();
-    // The home's own upstreams are busy first, and free when the other owner is back.
+    // The home's own upstreams are busy at first, and free when the other owner has restarted.
     site.submit(0, "look", "00000000000000ab", &run_job(4, 6_800, 200));
     site.run_ms(20);
     site.submit(0, "look", JOB, &run_job(4, 6_800, 900));
     site.run_ms(50);
     let (home, owner) = (0, 1);
-    // One of the owner's upstreams is out of its reach when it is back, the other is claimed.
+    // When the owner has restarted, it cannot reach one of its upstreams and claims the other.
     site.set_upstream_path(owner, 2, Some(PathLoss::Orders));
     site.kill(owner);
     site.run_ms(300);
@@ -74,10 +74,10 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against what was said to an earlier life of a home, of whose batches it speaks, and that
-/// the next life takes for its own.
+/// Guards against a delayed message about batches of an earlier incarnation of a home that the next
+/// incarnation applies to its own batches.
 #[test]
-fn message_to_an_earlier_incarnation_of_a_home_ends_nothing_of_the_next() {
+fn message_to_an_earlier_incarnation_of_a_home_ends_no_batch_of_the_next() {
     let (home, owner) = (0, 1);
     let mut site = started();
     for number in 1..=8 {
@@ -98,7 +98,7 @@
     site.run_ms(100);
     site.start_node(home);
     site.submit(home, "look", JOB, &run_job(1, 6_800, 300));
-    // The connections between them are open by then.
+    // Long enough for the connections between the two instances to open.
     site.run_ms(30);
     site.hold_messages(owner, home, false);
     site.run_ms(1_500);
--- a/lib/tests/run_counts.rs
+++ b/lib/tests/run_counts.rs
@@ -1,4 +1,4 @@
-//! Counts of what a home decides about runs whose owner is lost.
+//! Counters of a home's decisions about orphaned runs and abandoned jobs.
 
 use almondhead_testsupport::run_site::RunSite;
 use almondhead_testsupport::run_site::SitePlan;
@@ -9,11 +9,12 @@
     found.map_or(0, |(_, count)| *count)
 }
 
+/// Guards against ends that are found by another owner and missing from the counters.
 #[test]
 fn end_that_the_next_owner_finds_is_counted() {
     let mut site = RunSite::start(&SitePlan::new(2, 1, 2));
     site.run_ms(1_000);
-    // The home's own upstreams have no room for all.
+    // More tasks than fit on the home's own upstreams.
     let job = run_job(8, 6_800, 400);
     site.submit(0, "look", "00000000000000aa", &job);
     site.run_ms(200);
@@ -27,6 +28,7 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// Guards against a job of a caller that left being counted under another reason or not at all.
 #[test]
 fn caller_that_leaves_is_counted() {
     let mut site = RunSite::start(&SitePlan::new(1, 1, 2));
--- a/lib/tests/stopping_home.rs
+++ b/lib/tests/stopping_home.rs
@@ -1,4 +1,4 @@
-//! What a stopping instance takes in, and how it ends the jobs that are open before it exits.
+//! A stopping instance: which jobs it still accepts, and how it ends open jobs before it exits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,11 @@
 /// The instance that stops.
 const LEAVING: usize = 0;
 
-/// How long after it is asked to stop an instance of the simulated site exits.
+/// The time from the stop request to the exit of an instance of the simulated site, in
+/// milliseconds.
 const GRACE_MS: u64 = 5_000;
 
-/// A site whose callers wait far longer than a stopping instance lives.
+/// A site whose callers wait for far longer than a stopping instance takes to exit.
 fn started() -> RunSite {
     let mut site = RunSite::start(&SitePlan::new(2, 2, 6));
     site.set_caller_wait(Some(Duration::from_secs(20)));
@@ -31,7 +32,7 @@
     site.answer(id).expect("an answer").answer.clone()
 }
 
-fn is_refused_for_the_stop(answer: &RunAnswer) -> bool {
+fn is_refused_as_stopping(answer: &RunAnswer) -> bool {
     matches!(
         answer,
         RunAnswer::NotRun {
@@ -41,9 +42,10 @@
     )
 }
 
-/// Guards against a refusal of every caller that is ready to wait beyond the exit.
+/// Guards against a stopping instance that refuses every job whose caller would wait beyond the
+/// exit, also a job that ends before it.
 #[test]
-fn job_that_ends_before_the_exit_is_taken() {
+fn job_that_ends_before_the_exit_is_accepted() {
     let mut site = started();
     site.stop_node(LEAVING);
     site.run_ms(500);
@@ -53,7 +55,7 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against jobs that are taken in and cut off by the exit.
+/// Guards against a job that is accepted and then cut off by the exit.
 #[test]
 fn job_that_would_end_after_the_exit_is_refused_at_once() {
     let mut site = started();
@@ -62,15 +64,15 @@
     site.submit(LEAVING, "look", ID, &run_job(4, 6_800, 1_500));
     site.run_ms(1);
     let answer = answer(&site, ID);
-    assert!(is_refused_for_the_stop(&answer), "{answer:?}");
+    assert!(is_refused_as_stopping(&answer), "{answer:?}");
     assert_eq!(site.running(), 0);
 }
 
-/// Guards against a connection that is cut while its caller waits.
+/// Guards against an exit that closes the connection of a caller without an answer.
 #[test]
 fn open_job_is_answered_before_the_exit() {
     let mut site = started();
-    // In the other data centre, so that the stop moves no run to another owner.
+    // An upstream in the other data centre, so that the stop does not change its owner.
     site.label_upstream(6, "far");
     site.run_ms(600);
     let mut job = run_job(2, 6_800, 8_000);
@@ -79,7 +81,10 @@
     site.run_ms(200);
     site.stop_node(LEAVING);
     site.run_ms(4_500);
-    assert!(site.answer(ID).is_none(), "given up before it had to be");
+    assert!(
+        site.answer(ID).is_none(),
+        "the job was given up before the last answers were due"
+    );
     assert_eq!(site.running(), 2);
     site.run_ms(GRACE_MS - 4_500);
     let stopping = RunAnswer::GivenUp(GivenUp::Stopping);
@@ -88,7 +93,8 @@
     assert_eq!(site.running(), 0);
 }
 
-/// Guards against a caller that is kept waiting for a job that its next owners see to end too late.
+/// Guards against a caller that waits for the exit although the new owners of the job's runs see by
+/// their progress that they end after it.
 #[test]
 fn adopted_run_that_would_end_after_the_exit_is_given_up_by_its_progress() {
     let mut site = started();
@@ -101,9 +107,9 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against jobs of seconds that end with the instance though there is time for them.
+/// Guards against a job of several seconds that is given up although it ends before the exit.
 #[test]
-fn open_job_of_seconds_completes_before_the_exit() {
+fn long_job_completes_before_the_exit() {
     let mut site = started();
     site.submit(LEAVING, "look", ID, &run_job(4, 6_800, 4_000));
     site.run_ms(200);
@@ -113,7 +119,7 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against a later step that is started for a job that must end unfinished.
+/// Guards against a step that is started although it cannot end before the exit.
 #[test]
 fn step_that_could_not_end_before_the_exit_is_not_started() {
     let mut site = started();
--- a/lib/tests/sustained_overload.rs
+++ b/lib/tests/sustained_overload.rs
@@ -1,7 +1,7 @@
-//! Sustained overload: more jobs come than upstreams can run, for seconds.
+//! Sustained overload: for seconds, callers submit more jobs than the upstreams can run.
 //!
-//! The pattern is goodput collapse: work goes into jobs that are not completed in the end, and
-//! everybody waits as long as callers are ready to.
+//! The failure to guard against is goodput collapse: upstreams work on jobs that do not complete,
+//! and every caller waits until it gives up.
 
 use almondhead_lib::runs::run_answer::JobEnd;
 use almondhead_lib::runs::run_answer::NotRun;
@@ -11,27 +11,30 @@
 use almondhead_testsupport::run_site::SitePlan;
 use almondhead_testsupport::run_site::run_job;
 
-/// The tasks of a job.
+/// The number of tasks of a job.
 const TASKS: u32 = 8;
 
-/// How long a task runs, in milliseconds.
+/// The run time of a task, in milliseconds.
 const RUN_MS: u64 = 60;
 
-/// The time by which a job is to end: 1.6 times its run time and 60 ms.
+/// The objective of a job in milliseconds: 1.6 times its run time plus 60 ms.
 const OBJECTIVE_MS: u128 = 156;
 
-/// Jobs come every 8 ms; 12 upstreams run two tasks each, so a job of 8 is done every 20 ms.
+/// The time between two jobs in milliseconds.
+///
+/// 12 upstreams run two tasks each, so that they complete a job of 8 tasks every 20 ms.
 const GAP_MS: u64 = 8;
 
 /// How long the overload lasts, in milliseconds.
 const OVERLOAD_MS: u64 = 4_000;
 
-/// The jobs that the upstreams could complete in that time.
+/// The number of jobs that the upstreams could complete in that time.
 const CAPACITY_JOBS: usize = 200;
 
-/// What messages and orders take beside the wait itself, in milliseconds.
+/// An allowance for messages and orders on top of the wait, in milliseconds.
 const MARGIN_MS: u128 = 40;
 
+/// A site after the overload, with every job answered.
 fn overloaded() -> RunSite {
     let mut site = RunSite::start(&SitePlan::new(2, 2, 6));
     site.run_ms(1_000);
@@ -52,8 +55,9 @@
     answer.answered_at.since(answer.asked_at).as_millis()
 }
 
+/// Guards against upstreams that spend their capacity on jobs that do not complete.
 #[test]
-fn upstreams_work_for_jobs_that_complete() {
+fn most_capacity_goes_to_jobs_that_complete() {
     let site = overloaded();
     let completed = site
         .answers()
@@ -66,19 +70,21 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
+/// Guards against jobs that are given up after some of their tasks ran.
 #[test]
-fn jobs_that_have_begun_are_finished() {
+fn few_jobs_that_have_begun_are_given_up() {
     let site = overloaded();
     let given_up = site
         .answers()
         .filter(|(_, answer)| matches!(answer.answer, RunAnswer::GivenUp(_)));
     let given_up = given_up.count();
-    // One in fifty of those that come.
+    // One in fifty of the submitted jobs.
     assert!(given_up <= 10, "{given_up} jobs given up after some ran");
 }
 
+/// Guards against callers that wait beyond their job's objective only to be refused.
 #[test]
-fn refused_callers_know_by_their_objective() {
+fn refusals_come_by_the_objective() {
     let site = overloaded();
     let mut refused = 0;
     for (id, answer) in site.answers() {
@@ -90,9 +96,15 @@
             continue;
         };
         refused += 1;
-        assert!(retry_after.is_some(), "{id}: when to come back");
+        assert!(
+            retry_after.is_some(),
+            "{id}: the refusal has no retry_after"
+        );
         let waited = waited_ms(answer);
         assert!(waited <= OBJECTIVE_MS + MARGIN_MS, "{id}: {waited} ms");
     }
-    assert!(refused > 0, "the load is more than the site can run");
+    assert!(
+        refused > 0,
+        "no job was refused, though the load exceeds the capacity"
+    );
 }
