--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -59,8 +59,8 @@
 /// This is the longest lease that the former owner can have ordered.
 pub(crate) const CLAIMABLE_TIME: Duration = Duration::from_secs(1);
 
-/// Maximum number of placements per task, on average over a job, so that refusals do not go on
-/// endlessly.
+/// Maximum number of placements per task, on average over a job, which bounds the retries of refused
+/// placements.
 const MAX_PLACEMENTS_PER_TASK: u32 = 16;
 
 /// How long the answer of an ended job is kept for a caller that repeats its request.
@@ -120,8 +120,11 @@
 pub(crate) struct Home {
     pub(crate) jobs: SlotMap<HomeJobKey, HomeJob>,
     by_id: IndexMap<JobId, HomeJobKey>,
+    /// The outcomes of jobs that ended within the last [`ANSWER_RETENTION`].
     ended: IndexMap<JobId, JobEnd>,
+    /// The open job of each request that waits for an answer.
     requests: IndexMap<RequestId, HomeJobKey>,
+    /// The open batches by owner and batch number.
     pub(crate) batches: IndexMap<(OwnerRef, u64), OpenBatch>,
     /// The names of the owners' instances, for logs.
     owner_names: IndexMap<OwnerRef, Arc<str>>,
@@ -144,6 +147,7 @@
     pub(crate) id: JobId,
     pub(crate) queue: Arc<JobQueueSettings>,
     pub(crate) spec: Arc<JobSpec>,
+    /// How long its caller waits for the answer.
     pub(crate) wait: Duration,
 }
 
@@ -296,7 +300,10 @@
         let unreachable_since = job.tasks[task].may_run_unreachable_since(now);
         if let Some(since) = unreachable_since.filter(|_| !matches!(end, RunEnd::Done { .. })) {
             // The run that ended may belong to an earlier attempt with the same numbers.
-            tracing::warn!(job = %job.id, run = %run, ?end, "end of run ignored: an unreachable owner may still run the task");
+            tracing::warn!(
+                job = %job.id, run = %run, ?end,
+                "end of run ignored: an unreachable owner may still run the task"
+            );
             self.set_orphaned(now, key, task, since, None);
             return self.close_empty_batches(key);
         }
@@ -425,9 +432,9 @@
         }
     }
 
-    /// Marks a run as orphaned since the last contact with its owner.
+    /// Marks a run as orphaned.
     ///
-    /// `from` is that owner and its batch; none when another owner has taken over the upstream.
+    /// `since` and `from` are as in [`HomeState::Orphaned`].
     fn set_orphaned(
         &mut self,
         now: Timestamp,
@@ -468,7 +475,10 @@
             let ended_at = since + MAX_RUN_AFTER_CONTACT;
             if ended_at <= now {
                 let age_ms = whole_ms(now.since(since));
-                tracing::info!(job = %job.id, run = %job.run(task), age_ms, "orphaned run must have ended: retrying the task");
+                tracing::info!(
+                    job = %job.id, run = %job.run(task), age_ms,
+                    "orphaned run must have ended: retrying the task"
+                );
                 self.counts.retried_orphaned += 1;
                 self.retry_task(now, key, task);
             } else if ended_at + job.min_run_time(task) > job.deadline {
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -8,10 +8,10 @@
 
 /// How long after the last contact with its owner a run can still go on.
 ///
-/// After a network partition each side notices the other's silence after 600 ms and up to one
-/// heartbeat of 150 ms, and the last heartbeat may have arrived 150 ms later on the other side. If
-/// the owner is cut off from the upstream too, it renews the lease for the last time then; the lease
-/// lasts 1 s on a clock that may be 3 % slow.
+/// When the connection between two instances fails, each notices the other's silence after 600 ms
+/// and up to one heartbeat of 150 ms; the last heartbeat may have arrived 150 ms later on the other
+/// side. If the owner is cut off from the upstream too, it renews the lease for the last time then.
+/// The lease lasts 1 s on a clock that may be 3 % slow.
 pub(crate) const MAX_RUN_AFTER_CONTACT: Duration = Duration::from_millis(1_930);
 
 /// A task of a job, with its current run and where it is placed.
@@ -51,10 +51,10 @@
     },
     /// Its run may go on, and no reachable owner reports it.
     Orphaned {
-        /// The last contact with its owner.
+        /// The last time at which an owner that may hold a lease on it was reachable.
         since: Timestamp,
-        /// The unreachable owner and its batch; none when the owner's process has ended or another
-        /// owner has the upstream.
+        /// The unreachable owner and the batch's number, if a later report of that owner can still
+        /// tell whether the run goes on.
         from: Option<(OwnerRef, u64)>,
     },
     /// Its owner had no free capacity for it before its job's objective passed. It is placed again
--- a/lib/src/runs/run_answer.rs
+++ b/lib/src/runs/run_answer.rs
@@ -73,7 +73,7 @@
     /// No listed upstream has the capacity and the label that one of its tasks needs.
     #[display("needs_no_upstream_has")]
     NeedsNoUpstreamHas,
-    /// No owner of an upstream of its service is reachable, or its placements were refused too often.
+    /// No owner of an upstream of its service is reachable, or owners refused its tasks too often.
     #[display("no_upstream_in_reach")]
     NoUpstreamInReach,
     /// By the current load it would end after its caller has left.
