--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -1,4 +1,4 @@
-//! Which owner gets which waiting task.
+//! Placement: which owner gets which waiting task.
 
 use std::sync::Arc;
 
@@ -17,13 +17,13 @@
 use super::roster::Roster;
 use super::run_dispatcher::RunDispatcher;
 use super::run_id::HomeJobKey;
-use super::step_reach::StepReach;
+use super::step_constraints::StepConstraints;
 use super::upstream_listing::UpstreamListing;
 use crate::time::Timestamp;
 
 impl RunDispatcher {
-    /// The owners of a service's upstreams that take work now.
-    pub(crate) fn views(&self, service: &str) -> Vec<OwnerView> {
+    /// The owners that accept tasks of a service now, with their known load.
+    pub(crate) fn owner_views(&self, service: &str) -> Vec<OwnerView> {
         let mut views = Vec::new();
         let own_loads = self.owner.loads(self.now);
         for load in own_loads.iter().filter(|load| &*load.service == service) {
@@ -42,7 +42,7 @@
         views
     }
 
-    /// Hands waiting tasks to owners, those of the most pressing jobs first.
+    /// Places waiting tasks at owners, jobs with the earliest objective first.
     pub(crate) fn place_waiting(&mut self) {
         if !self.home.take_dirty() {
             return;
@@ -55,21 +55,29 @@
         let mut views: IndexMap<Arc<str>, Vec<OwnerView>> = IndexMap::new();
         for (_, key) in waiting {
             let service = self.home.jobs[key].queue.service.clone();
-            let of_service = match views.get_mut(&service) {
-                Some(of_service) => of_service,
+            let service_views = match views.get_mut(&service) {
+                Some(service_views) => service_views,
                 None => {
-                    let of_service = self.views(&service);
-                    views.entry(service).or_insert(of_service)
+                    let service_views = self.owner_views(&service);
+                    views.entry(service).or_insert(service_views)
                 }
             };
-            let mut reaches = reaches(&self.home.jobs[key], &self.roster, &self.listing, |name| {
-                owner_named(&self.settings.instance, &self.peers, name)
-            });
-            place_job(&mut self.home, self.now, key, of_service, &mut reaches);
+            let mut step_constraints =
+                step_constraints(&self.home.jobs[key], &self.roster, &self.listing, |name| {
+                    owner_named(&self.settings.instance, &self.peers, name)
+                });
+            place_job(
+                &mut self.home,
+                self.now,
+                key,
+                service_views,
+                &mut step_constraints,
+            );
         }
     }
 }
 
+/// The owner with this instance name; none when no such instance is known.
 fn owner_named(own: &str, peers: &PeerTable, name: &str) -> Option<OwnerRef> {
     match name == own {
         true => Some(OwnerRef::Own),
@@ -77,17 +85,17 @@
     }
 }
 
-/// Where the tasks of each step of a job may go.
-fn reaches(
+/// The constraints on where the tasks of each step of a job may be placed.
+fn step_constraints(
     job: &HomeJob,
     roster: &Roster,
     listing: &UpstreamListing,
     owner_named: impl Fn(&str) -> Option<OwnerRef>,
-) -> Vec<StepReach> {
+) -> Vec<StepConstraints> {
     let steps = (0..).zip(&job.spec.steps);
-    let reaches = steps.map(|(index, step)| {
-        if !StepReach::is_needed(step) {
-            return StepReach::default();
+    let step_constraints = steps.map(|(index, step)| {
+        if !StepConstraints::is_needed(step) {
+            return StepConstraints::default();
         }
         let upstreams = with_owners(roster, listing)
             .filter(|(upstream, _)| upstream.service == job.queue.service)
@@ -96,18 +104,18 @@
             HomeState::Placed { owner, .. } if task.step == index => Some(owner),
             _ => None,
         });
-        StepReach::new(step, upstreams, placed)
+        StepConstraints::new(step, upstreams, placed)
     });
-    reaches.collect()
+    step_constraints.collect()
 }
 
-/// Hands the waiting tasks of a job to owners.
+/// Places the waiting tasks of a job at owners, one batch for each owner.
 fn place_job(
     home: &mut Home,
     now: Timestamp,
     key: HomeJobKey,
     views: &mut [OwnerView],
-    reaches: &mut [StepReach],
+    step_constraints: &mut [StepConstraints],
 ) {
     let job = &home.jobs[key];
     let mut has_begun = job.has_begun;
@@ -124,7 +132,7 @@
             demand,
             &placement_request,
             &task.avoid,
-            &mut reaches[step],
+            &mut step_constraints[step],
         ) {
             let owner = views[choice.view].owner;
             has_begun |= choice.has_capacity;
@@ -133,7 +141,7 @@
     }
     home.jobs[key].has_begun = has_begun;
     for (owner, tasks) in chosen {
-        let batch = home.batch_of(now, key, owner, &tasks);
+        let batch = home.create_batch(now, key, owner, &tasks);
         tracing::info!(
             job = %batch.job, owner = home.owner_name(owner), batch = batch.number, tasks = tasks.len(), "tasks placed"
         );
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -226,7 +226,7 @@
                 path,
                 kind,
                 wait,
-            } => self.requested(request, &host, &path, kind, wait),
+            } => self.handle_request(request, &host, &path, kind, wait),
             RunEvent::RequestDropped { request } => self.home.drop_request(self.now, request),
             RunEvent::IntendedRead { state, body } => self.install(state, body),
             RunEvent::UpstreamsListed(changes) => {
@@ -313,9 +313,10 @@
 
     fn set_peers(&mut self) {
         let own = self.settings.instance.clone();
-        self.home.name_owner(OwnerRef::Own, own);
+        self.home.set_owner_name(OwnerRef::Own, own);
         for (key, peer) in &self.peers.peers {
-            self.home.name_owner(OwnerRef::Peer(key), peer.name.clone());
+            self.home
+                .set_owner_name(OwnerRef::Peer(key), peer.name.clone());
         }
         let peers = self.peers.peers.values().map(|peer| PeerAddress {
             name: peer.name.clone(),
@@ -419,7 +420,7 @@
         let waiting: Vec<HomeJobKey> = waiting.map(|(key, _)| key).collect();
         for key in waiting {
             let service = self.home.jobs[key].queue.service.clone();
-            let has_owner = !self.views(&service).is_empty();
+            let has_owner = !self.owner_views(&service).is_empty();
             let job = &mut self.home.jobs[key];
             if has_owner {
                 job.no_owner_since = None;
@@ -487,7 +488,7 @@
         match notice {
             OwnerNotice::Ends { home, batch, ends } => {
                 if home == self.settings.incarnation {
-                    return self.home.take_ends(self.now, OwnerRef::Own, batch, ends);
+                    return self.home.handle_ends(self.now, OwnerRef::Own, batch, ends);
                 }
                 if let Some(peer) = self.peers.by_incarnation(home) {
                     let digest = self.digest();
@@ -507,7 +508,8 @@
             } => {
                 let now = self.now;
                 let own = OwnerRef::Own;
-                self.home.claim_found(now, own, &upstream, &running, &ended);
+                self.home
+                    .handle_found_runs(now, own, &upstream, &running, &ended);
                 let found = RunMessage::Found {
                     upstream,
                     fence,
@@ -578,7 +580,7 @@
             }
             RunMessage::Ends(ends) => {
                 self.take_digest(peer, ends.digest);
-                self.home.take_ends(now, owner, ends.batch, ends.ends);
+                self.home.handle_ends(now, owner, ends.batch, ends.ends);
             }
             RunMessage::Cancel { batches } => self.owner.cancel(now, home, &batches),
             RunMessage::Found {
@@ -589,7 +591,7 @@
             } => {
                 self.owner.relinquish_upstream(now, &upstream, fence);
                 self.home
-                    .claim_found(now, owner, &upstream, &running, &ended);
+                    .handle_found_runs(now, owner, &upstream, &running, &ended);
             }
             RunMessage::Report(report) if is_fresh => self.take_report(peer, home, report),
             RunMessage::Report(_) => {}
@@ -609,7 +611,7 @@
         self.owner
             .keep_only(self.now, home, &report.open, report.highest_sent);
         self.home
-            .compare_held(self.now, owner, &report.held, report.highest_taken);
+            .reconcile_batches(self.now, owner, &report.held, report.highest_taken);
     }
 
     fn take_digest(&mut self, peer: PeerKey, digest: RunDigest) {
@@ -655,7 +657,7 @@
         match message.message {
             RunMessage::Place(batch) => {
                 let owner = OwnerRef::Peer(peer);
-                self.home.take_unsent(self.now, owner, batch.number);
+                self.home.handle_unsent_batch(self.now, owner, batch.number);
                 self.peers.peers[peer].digest.services.clear();
             }
             // A heartbeat or a request for a document comes again by itself.
@@ -711,7 +713,7 @@
             .collect();
         for (peer, incarnation) in peers {
             let (held, highest_taken) = self.owner.held_of(self.now, incarnation);
-            let open = self.home.open_at(OwnerRef::Peer(peer));
+            let open = self.home.open_batches_at(OwnerRef::Peer(peer));
             let state = &self.peers.peers[peer];
             let is_neighbour = self.neighbours.contains(&state.name) || state.is_back(self.now);
             if held.is_empty() && open.is_empty() && !is_neighbour {
@@ -722,7 +724,7 @@
                 held,
                 highest_taken,
                 open,
-                highest_sent: self.home.highest_batch(),
+                highest_sent: self.home.highest_batch_number(),
             };
             self.send(peer, RunMessage::Report(report));
         }
