--- a/lib/benches/admission_trial.rs
+++ b/lib/benches/admission_trial.rs
@@ -181,10 +181,10 @@
         let backlog = match self.row.ahead {
             Ahead::All => QueueBacklog {
                 tasks_ahead: all,
-                slots_taken: 0,
+                overtaking_slots: 0,
             },
             Ahead::Before => QueueBacklog {
-                slots_taken: 0,
+                overtaking_slots: 0,
                 ..backlog
             },
             Ahead::Backlog => backlog,
@@ -196,7 +196,7 @@
             queued_work: run_estimate.mean * backlog.tasks_ahead,
             running: self.running.len() as u32,
             slots: SLOTS,
-            slots_taken: backlog.slots_taken,
+            overtaking_slots: backlog.overtaking_slots,
             run_estimate,
             time_left: self.deadline,
             max_queued_tasks: self.row.max_queued_tasks,
--- a/lib/src/accepting.rs
+++ b/lib/src/accepting.rs
@@ -84,7 +84,7 @@
             queued_work: service.work_of(backlog.tasks_ahead.min(service.queued_tasks)),
             running: service.running,
             slots,
-            slots_taken: backlog.slots_taken,
+            overtaking_slots: backlog.overtaking_slots,
             run_estimate: service.estimate.reading(submission.declared_run_time),
             time_left: accepted.deadline.since(self.now),
             max_queued_tasks: self.plan.document.policies.max_queued_tasks,
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -29,8 +29,8 @@
     pub slots: u32,
     /// The slots of them that jobs which pass this one were served of late.
     ///
-    /// See [`crate::queue::QueueBacklog::slots_taken`]; zero when no job passes another.
-    pub slots_taken: u32,
+    /// See [`crate::queue::QueueBacklog::overtaking_slots`]; zero when no job passes another.
+    pub overtaking_slots: u32,
     /// How long a task of the job is expected to run.
     pub run_estimate: RunEstimateReading,
     /// The time until the job's deadline.
--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -59,7 +59,7 @@
         return Ok(());
     }
     let late = finish - load.time_left;
-    let capacity_in = match load.slots_taken {
+    let capacity_in = match load.overtaking_slots {
         0 => late.min(wait),
         _ => late,
     };
@@ -79,7 +79,7 @@
 /// The slots that jobs which pass this one leave to it.
 fn slots_left(load: &AdmissionLoad) -> u32 {
     let least = (load.slots / LEAST_SLOTS_DIVISOR).max(1);
-    load.slots.saturating_sub(load.slots_taken).max(least)
+    load.slots.saturating_sub(load.overtaking_slots).max(least)
 }
 
 /// The run of the whole job once its first task starts.
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -262,7 +262,7 @@
         let taken = self.service.up_to_us(class) / 1e6 / USAGE_DECAY.as_secs_f64();
         QueueBacklog {
             tasks_ahead: self.tasks.up_to(class),
-            slots_taken: taken as u32,
+            overtaking_slots: taken as u32,
         }
     }
 
--- a/lib/src/ordered_queue.rs
+++ b/lib/src/ordered_queue.rs
@@ -90,7 +90,7 @@
     fn backlog(&mut self, _now: Timestamp, _tasks: u32) -> QueueBacklog {
         QueueBacklog {
             tasks_ahead: self.tasks.up_to(SizeClass::LAST),
-            slots_taken: 0,
+            overtaking_slots: 0,
         }
     }
 
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -38,7 +38,7 @@
     /// The remaining tasks of queued jobs that go before it.
     pub tasks_ahead: u32,
     /// The slots that jobs which pass it were served of late, queued ones and later arrivals.
-    pub slots_taken: u32,
+    pub overtaking_slots: u32,
 }
 
 /// Orders the jobs that hold tasks to start.
--- a/lib/tests/admission_control.rs
+++ b/lib/tests/admission_control.rs
@@ -24,7 +24,7 @@
         queued_work: Duration::ZERO,
         running: 0,
         slots: 10,
-        slots_taken: 0,
+        overtaking_slots: 0,
         run_estimate: RunEstimateReading {
             mean: MEAN,
             high: MEAN * 3,
@@ -79,7 +79,7 @@
             "smaller jobs take the slots",
             AdmissionLoad {
                 tasks: 40,
-                slots_taken: 9,
+                overtaking_slots: 9,
                 ..queued(1)
             },
             Some(NotRunReason::Overloaded),
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -351,7 +351,7 @@
         queue.remove(entries[1].job);
         let backlog = queue.backlog(Timestamp::ZERO, 10);
         assert_eq!(backlog.tasks_ahead, 3, "{policy:?}");
-        assert_eq!(backlog.slots_taken, 0, "{policy:?}");
+        assert_eq!(backlog.overtaking_slots, 0, "{policy:?}");
     }
 }
 
@@ -368,8 +368,8 @@
         queue.charge(team, 1, Duration::from_millis(100));
     }
     let now = Timestamp::from_us(20_000_000);
-    let taken = queue.backlog(now, 100).slots_taken;
+    let taken = queue.backlog(now, 100).overtaking_slots;
     assert!((9..=10).contains(&taken), "{taken}");
     let later = Timestamp::from_us(30_000_000);
-    assert_eq!(queue.backlog(later, 100).slots_taken, 0);
+    assert_eq!(queue.backlog(later, 100).overtaking_slots, 0);
 }
