--- a/lib/benches/admission_trial.rs
+++ b/lib/benches/admission_trial.rs
@@ -200,7 +200,7 @@
             run_estimate,
             time_left: self.deadline,
             max_queued_tasks: self.row.max_queued_tasks,
-            spread: self.rng.random(),
+            jitter_seed: self.rng.random(),
         }
     }
 
--- a/lib/src/accepting.rs
+++ b/lib/src/accepting.rs
@@ -88,7 +88,7 @@
             run_estimate: service.estimate.reading(submission.declared_run_time),
             time_left: accepted.deadline.since(self.now),
             max_queued_tasks: self.plan.document.policies.max_queued_tasks,
-            spread: u32::try_from(self.next_job & 0xffff).unwrap_or_default(),
+            jitter_seed: u32::try_from(self.next_job & 0xffff).unwrap_or_default(),
         };
         service.admission.admit(&load)?;
         let now = self.now;
--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -38,7 +38,7 @@
     /// The most tasks that may wait for a slot.
     pub max_queued_tasks: u32,
     /// A number that differs from job to job, which spreads the times of refused callers.
-    pub spread: u32,
+    pub jitter_seed: u32,
 }
 
 /// A job that is not taken; nothing of it runs.
--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -63,7 +63,7 @@
         0 => late.min(wait),
         _ => late,
     };
-    Err(overloaded(capacity_in, load.spread))
+    Err(overloaded(capacity_in, load.jitter_seed))
 }
 
 /// The time until the first of the job's tasks can start.
@@ -96,14 +96,14 @@
 fn refuse_infeasible(load: &AdmissionLoad, run: Duration) -> Result<(), Refusal> {
     let is_known = load.run_estimate.samples >= MIN_SAMPLES;
     if is_known && run > load.time_left.saturating_mul(INFEASIBLE_FACTOR) {
-        return Err(overloaded(run, load.spread));
+        return Err(overloaded(run, load.jitter_seed));
     }
     Ok(())
 }
 
-fn overloaded(capacity_in: Duration, spread: u32) -> Refusal {
+fn overloaded(capacity_in: Duration, jitter_seed: u32) -> Refusal {
     Refusal {
         reason: NotRunReason::Overloaded,
-        retry_after: retry_after(capacity_in, spread),
+        retry_after: retry_after(capacity_in, jitter_seed),
     }
 }
--- a/lib/src/queue_length.rs
+++ b/lib/src/queue_length.rs
@@ -22,7 +22,7 @@
         if load.slots == 0 {
             return Err(Refusal {
                 reason: NotRunReason::NotTaken,
-                retry_after: retry_after(NO_SLOT_WAIT, load.spread),
+                retry_after: retry_after(NO_SLOT_WAIT, load.jitter_seed),
             });
         }
         let queued = load.queued_tasks.saturating_add(load.tasks);
@@ -33,7 +33,7 @@
         let capacity_in = load.run_estimate.mean * excess / load.slots;
         Err(Refusal {
             reason: NotRunReason::QueueFull,
-            retry_after: retry_after(capacity_in, load.spread),
+            retry_after: retry_after(capacity_in, load.jitter_seed),
         })
     }
 }
--- a/lib/tests/admission_control.rs
+++ b/lib/tests/admission_control.rs
@@ -32,7 +32,7 @@
         },
         time_left: Duration::from_secs(1),
         max_queued_tasks: 1_000,
-        spread: 0,
+        jitter_seed: 0,
     }
 }
 
@@ -121,10 +121,10 @@
     let admission = admission_for(AdmissionPolicy::EstimatedFinish);
     for queued_tasks in [70, 80, 90, 150, 500, 1_000, 1_200] {
         for tasks in [1, 10, 40] {
-            for spread in [0, u32::MAX / 2, u32::MAX] {
+            for jitter_seed in [0, u32::MAX / 2, u32::MAX] {
                 let load = AdmissionLoad {
                     tasks,
-                    spread,
+                    jitter_seed,
                     ..queued(queued_tasks)
                 };
                 let Err(refusal) = admission.admit(&load) else {
@@ -148,9 +148,9 @@
 fn refused_callers_do_not_come_back_together() {
     let admission = admission_for(AdmissionPolicy::EstimatedFinish);
     let mut waits: Vec<Duration> = (0..100)
-        .map(|spread| {
+        .map(|jitter_seed| {
             let load = AdmissionLoad {
-                spread,
+                jitter_seed,
                 ..queued(500)
             };
             admission.admit(&load).unwrap_err().retry_after
