--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -74,7 +74,7 @@
         OverflowDemand {
             waiting_tasks: service.queued_tasks,
             own_slots: load.slots,
-            own_free: load.free_slots,
+            own_free_slots: load.free_slots,
             queued_tasks: service.queued_tasks,
             run_estimate: service.estimate.reading(None).mean,
             time_left: std::time::Duration::from_millis(longest),
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    fn jobs(&self) -> usize {
+    fn job_count(&self) -> usize {
         self.jobs.len()
     }
 }
--- a/lib/src/ordered_queue.rs
+++ b/lib/src/ordered_queue.rs
@@ -94,7 +94,7 @@
         }
     }
 
-    fn jobs(&self) -> usize {
+    fn job_count(&self) -> usize {
         self.jobs.len()
     }
 }
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -19,7 +19,7 @@
     /// The slots that this entry instance owns.
     pub own_slots: u32,
     /// The slots of them that are free.
-    pub own_free: u32,
+    pub own_free_slots: u32,
     /// All tasks that wait here for a slot, those included.
     pub queued_tasks: u32,
     /// How long a task is expected to run.
@@ -39,7 +39,7 @@
         let run_us = self.run_estimate.as_micros().max(1);
         let started_meanwhile = wait.as_micros() * u128::from(self.own_slots) / run_us;
         let started_meanwhile = u32::try_from(started_meanwhile).unwrap_or(u32::MAX);
-        let started = started_meanwhile.saturating_add(self.own_free);
+        let started = started_meanwhile.saturating_add(self.own_free_slots);
         self.queued_tasks
             .saturating_sub(started)
             .min(self.waiting_tasks)
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -68,7 +68,7 @@
     fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog;
 
     /// How many jobs are queued.
-    fn jobs(&self) -> usize;
+    fn job_count(&self) -> usize;
 }
 
 /// The queue that the document asks for.
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -16,7 +16,7 @@
     OverflowDemand {
         waiting_tasks,
         own_slots: 56,
-        own_free: 0,
+        own_free_slots: 0,
         queued_tasks: waiting_tasks,
         run_estimate: Duration::from_millis(300),
         time_left: Duration::from_secs(5),
@@ -62,7 +62,7 @@
         ..demand(7)
     };
     let free = OverflowDemand {
-        own_free: 30,
+        own_free_slots: 30,
         ..demand(20)
     };
     let late = OverflowDemand {
@@ -131,7 +131,7 @@
         let demand = OverflowDemand {
             waiting_tasks: rng.random_range(0..=queued_tasks),
             own_slots: rng.random_range(0..64),
-            own_free: rng.random_range(0..10),
+            own_free_slots: rng.random_range(0..10),
             queued_tasks,
             run_estimate: Duration::from_millis(rng.random_range(0..1_000)),
             time_left: Duration::from_millis(rng.random_range(0..3_000)),
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -107,11 +107,11 @@
         let mut queue = queue_for(policy);
         queue.insert(Timestamp::ZERO, entry);
         queue.insert(Timestamp::ZERO, entry);
-        assert_eq!(queue.jobs(), 1, "{policy:?}");
+        assert_eq!(queue.job_count(), 1, "{policy:?}");
         queue.remove(entry.job);
         queue.remove(entry.job);
         queue.update(entry.job, 1);
-        assert_eq!(queue.jobs(), 0, "{policy:?}");
+        assert_eq!(queue.job_count(), 0, "{policy:?}");
         assert_eq!(queue.next(Timestamp::ZERO, &mut any), None, "{policy:?}");
     }
 }
@@ -324,7 +324,7 @@
                     queue.remove(job);
                 }
             }
-            assert_eq!(queue.jobs(), held.len(), "{policy:?}");
+            assert_eq!(queue.job_count(), held.len(), "{policy:?}");
         }
     }
 }
