--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -9,16 +9,16 @@
 
 use crate::keys::JobKey;
 use crate::keys::TeamKey;
-use crate::ordered_jobs::Place;
-use crate::ordered_jobs::PlacedJob;
+use crate::ordered_jobs::OrderedJob;
+use crate::ordered_jobs::SortKey;
 use crate::queue::JobQueue;
 use crate::queue::QueueBacklog;
 use crate::queue::QueueEntry;
 use crate::queue::SCAN_LIMIT;
-use crate::queued_tasks::QueuedTasks;
 use crate::recent_service::RecentService;
+use crate::remaining_tasks::RemainingTasks;
 use crate::size_class::SizeClass;
-use crate::team_share::TeamShare;
+use crate::team_queue::TeamQueue;
 use crate::time::Timestamp;
 
 /// The tasks by which a team's jobs are put back when it has had all recent service.
@@ -28,10 +28,10 @@
 pub const OLDEST_EVERY: u32 = 16;
 
 /// The time in which the memory of service falls to a factor of 1/e.
-const USAGE_DECAY: Duration = Duration::from_secs(2);
+const SERVICE_DECAY_TIME: Duration = Duration::from_secs(2);
 
 /// The time between two steps of that decay.
-const DECAY_STEP: Duration = Duration::from_millis(40);
+const DECAY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// How much a [`FairQueue`] gives up of one order for another.
 #[value]
@@ -59,11 +59,11 @@
     arrival: u64,
 }
 
-/// A team's first job that was not offered yet, by its place among all teams' jobs.
+/// A team's first job that was not offered yet, by its sort_key among all teams' jobs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Head {
-    put_back: PlacedJob,
-    placed: PlacedJob,
+struct TeamHead {
+    penalised: OrderedJob,
+    ordered: OrderedJob,
     team: TeamKey,
 }
 
@@ -80,10 +80,10 @@
 pub struct FairQueue {
     settings: FairSettings,
     jobs: SecondaryMap<JobKey, QueuedJob>,
-    teams: SecondaryMap<TeamKey, TeamShare>,
-    tasks: QueuedTasks,
-    service: RecentService,
-    weighted_us: f64,
+    teams: SecondaryMap<TeamKey, TeamQueue>,
+    remaining_tasks: RemainingTasks,
+    recent_service: RecentService,
+    weighted_service_us: f64,
     decayed_at: Timestamp,
     arrivals: u64,
     starts: u32,
@@ -101,15 +101,15 @@
     /// Lets the memory of service fade up to `now`.
     fn decay(&mut self, now: Timestamp) {
         let elapsed = now.since(self.decayed_at);
-        if elapsed < DECAY_STEP {
+        if elapsed < DECAY_INTERVAL {
             return;
         }
-        let factor = (-elapsed.as_secs_f64() / USAGE_DECAY.as_secs_f64()).exp();
+        let factor = (-elapsed.as_secs_f64() / SERVICE_DECAY_TIME.as_secs_f64()).exp();
         for team in self.teams.values_mut() {
-            team.usage.decay(factor);
+            team.recent_service.decay(factor);
         }
-        self.service.decay(factor);
-        self.weighted_us *= factor;
+        self.recent_service.decay(factor);
+        self.weighted_service_us *= factor;
         self.decayed_at = now;
     }
 
@@ -119,24 +119,27 @@
         total / self.teams.len().max(1) as f64
     }
 
-    /// The place of a team's job among the jobs of all teams.
-    fn put_back(&self, team: &TeamShare, placed: PlacedJob) -> PlacedJob {
-        let class = SizeClass::of(placed.place.rank);
-        let share = team.usage.up_to_us(class) / self.weighted_us.max(1.0);
+    /// The sort_key of a team's job among the jobs of all teams.
+    fn penalised(&self, team: &TeamQueue, ordered: OrderedJob) -> OrderedJob {
+        let class = SizeClass::of(ordered.sort_key.rank);
+        let share = team.recent_service.up_to_us(class) / self.weighted_service_us.max(1.0);
         let penalty = share * share * f64::from(self.settings.full_share_penalty_tasks);
-        let place = Place {
-            rank: placed.place.rank.saturating_add(penalty as u64),
-            ..placed.place
+        let sort_key = SortKey {
+            rank: ordered.sort_key.rank.saturating_add(penalty as u64),
+            ..ordered.sort_key
         };
-        PlacedJob { place, ..placed }
+        OrderedJob {
+            sort_key,
+            ..ordered
+        }
     }
 
     /// The job that arrived first, when this start is one for it.
-    fn oldest_in_turn(&self) -> Option<JobKey> {
+    fn oldest_if_due(&self) -> Option<JobKey> {
         if self.starts == 0 || !self.starts.is_multiple_of(self.settings.oldest_every) {
             return None;
         }
-        let oldest = self.teams.values().filter_map(TeamShare::oldest).min()?;
+        let oldest = self.teams.values().filter_map(TeamQueue::oldest).min()?;
         Some(oldest.job)
     }
 
@@ -144,41 +147,41 @@
     fn first(&self) -> Option<JobKey> {
         self.teams
             .values()
-            .filter_map(|team| Some(self.put_back(team, team.fewest()?)))
+            .filter_map(|team| Some(self.penalised(team, team.fewest()?)))
             .min()
-            .map(|placed| placed.job)
+            .map(|ordered| ordered.job)
     }
 
     /// The first of at most [`SCAN_LIMIT`] jobs that `fits`, in the order of [`Self::first`].
     fn scan(&self, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
-        let mut heads: BinaryHeap<Reverse<Head>> = self
+        let mut heads: BinaryHeap<Reverse<TeamHead>> = self
             .teams
             .iter()
-            .filter_map(|(key, team)| Some(Reverse(self.head(key, team, team.fewest()?))))
+            .filter_map(|(key, team)| Some(Reverse(self.team_head(key, team, team.fewest()?))))
             .collect();
         for _ in 0..SCAN_LIMIT {
             let Reverse(head) = heads.pop()?;
-            if fits(head.placed.job) {
-                return Some(head.placed.job);
+            if fits(head.ordered.job) {
+                return Some(head.ordered.job);
             }
             let team = &self.teams[head.team];
-            let next = team.after(head.placed);
-            heads.extend(next.map(|placed| Reverse(self.head(head.team, team, placed))));
+            let next = team.after(head.ordered);
+            heads.extend(next.map(|ordered| Reverse(self.team_head(head.team, team, ordered))));
         }
         None
     }
 
-    fn head(&self, key: TeamKey, team: &TeamShare, placed: PlacedJob) -> Head {
-        Head {
-            put_back: self.put_back(team, placed),
-            placed,
+    fn team_head(&self, key: TeamKey, team: &TeamQueue, ordered: OrderedJob) -> TeamHead {
+        TeamHead {
+            penalised: self.penalised(team, ordered),
+            ordered,
             team: key,
         }
     }
 
     /// The first job that `fits`, whoever's turn it is.
     fn first_fitting(&self, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
-        if let Some(oldest) = self.oldest_in_turn()
+        if let Some(oldest) = self.oldest_if_due()
             && fits(oldest)
         {
             return Some(oldest);
@@ -195,17 +198,17 @@
     fn insert(&mut self, _now: Timestamp, entry: QueueEntry) {
         self.remove(entry.job);
         self.arrivals += 1;
-        let place = Place {
+        let sort_key = SortKey {
             rank: u64::from(entry.remaining),
             arrival: self.arrivals,
         };
         if !self.teams.contains_key(entry.team) {
-            self.teams.insert(entry.team, TeamShare::default());
+            self.teams.insert(entry.team, TeamQueue::default());
         }
         let team = &mut self.teams[entry.team];
         team.weight = entry.weight.max(1);
-        team.insert(entry.job, place);
-        self.tasks.set(entry.job, entry.remaining);
+        team.insert(entry.job, sort_key);
+        self.remaining_tasks.set(entry.job, entry.remaining);
         let queued = QueuedJob {
             team: entry.team,
             arrival: self.arrivals,
@@ -217,12 +220,12 @@
         let Some(queued) = self.jobs.get(job) else {
             return;
         };
-        let place = Place {
+        let sort_key = SortKey {
             rank: u64::from(remaining),
             arrival: queued.arrival,
         };
-        self.teams[queued.team].update(job, place);
-        self.tasks.set(job, remaining);
+        self.teams[queued.team].update(job, sort_key);
+        self.remaining_tasks.set(job, remaining);
     }
 
     fn remove(&mut self, job: JobKey) {
@@ -230,7 +233,7 @@
             return;
         };
         self.teams[queued.team].remove(job);
-        self.tasks.remove(job);
+        self.remaining_tasks.remove(job);
     }
 
     fn next(&mut self, now: Timestamp, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
@@ -238,7 +241,7 @@
         let job = self.first_fitting(fits)?;
         self.starts = self.starts.wrapping_add(1);
         let team = self.jobs[job].team;
-        self.teams[team].note_start(job);
+        self.teams[team].record_start(job);
         Some(job)
     }
 
@@ -250,18 +253,18 @@
             return;
         };
         team.charge(share_us);
-        let class = team.last_started;
-        self.weighted_us += share_us;
-        self.service.add(class, cost_us);
+        let class = team.last_started_class;
+        self.weighted_service_us += share_us;
+        self.recent_service.add(class, cost_us);
     }
 
     /// Jobs of its size class and smaller ones go before a new job.
     fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog {
         self.decay(now);
         let class = SizeClass::of(u64::from(tasks));
-        let taken = self.service.up_to_us(class) / 1e6 / USAGE_DECAY.as_secs_f64();
+        let taken = self.recent_service.up_to_us(class) / 1e6 / SERVICE_DECAY_TIME.as_secs_f64();
         QueueBacklog {
-            tasks_ahead: self.tasks.up_to(class),
+            tasks_ahead: self.remaining_tasks.up_to(class),
             overtaking_slots: taken as u32,
         }
     }
--- a/lib/src/ordered_jobs.rs
+++ b/lib/src/ordered_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the order of their places.
+//! Jobs in the order of their sort_keys.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -8,61 +8,61 @@
 
 use crate::keys::JobKey;
 
-/// The place of a job: lower ranks first, then lower arrival numbers.
+/// The sort_key of a job: lower ranks first, then lower arrival numbers.
 #[key]
-pub(crate) struct Place {
+pub(crate) struct SortKey {
     pub(crate) rank: u64,
     pub(crate) arrival: u64,
 }
 
-/// A job and its place.
+/// A job and its sort_key.
 #[key]
-pub(crate) struct PlacedJob {
-    pub(crate) place: Place,
+pub(crate) struct OrderedJob {
+    pub(crate) sort_key: SortKey,
     pub(crate) job: JobKey,
 }
 
-/// A set of jobs in order of their places, with logarithmic operations.
+/// A set of jobs in order of their sort_keys, with logarithmic operations.
 #[derive(Debug, Default)]
 pub(crate) struct OrderedJobs {
-    order: BTreeSet<PlacedJob>,
-    places: SecondaryMap<JobKey, Place>,
+    order: BTreeSet<OrderedJob>,
+    sort_keys: SecondaryMap<JobKey, SortKey>,
 }
 
 impl OrderedJobs {
     /// Adds a job, or moves one already held.
-    pub(crate) fn insert(&mut self, job: JobKey, place: Place) {
+    pub(crate) fn insert(&mut self, job: JobKey, sort_key: SortKey) {
         self.remove(job);
-        self.places.insert(job, place);
-        self.order.insert(PlacedJob { place, job });
+        self.sort_keys.insert(job, sort_key);
+        self.order.insert(OrderedJob { sort_key, job });
     }
 
     /// Takes a job out.
     pub(crate) fn remove(&mut self, job: JobKey) {
-        if let Some(place) = self.places.remove(job) {
-            self.order.remove(&PlacedJob { place, job });
+        if let Some(sort_key) = self.sort_keys.remove(job) {
+            self.order.remove(&OrderedJob { sort_key, job });
         }
     }
 
     /// The first job in order.
-    pub(crate) fn first(&self) -> Option<PlacedJob> {
+    pub(crate) fn first(&self) -> Option<OrderedJob> {
         self.order.first().copied()
     }
 
-    /// The job that comes after `placed`.
-    pub(crate) fn after(&self, placed: PlacedJob) -> Option<PlacedJob> {
-        let rest = (Bound::Excluded(placed), Bound::Unbounded);
+    /// The job that comes after `ordered`.
+    pub(crate) fn after(&self, ordered: OrderedJob) -> Option<OrderedJob> {
+        let rest = (Bound::Excluded(ordered), Bound::Unbounded);
         self.order.range(rest).next().copied()
     }
 
     /// The jobs in order.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = PlacedJob> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = OrderedJob> {
         self.order.iter().copied()
     }
 
-    /// The place of a job.
-    pub(crate) fn place(&self, job: JobKey) -> Option<Place> {
-        self.places.get(job).copied()
+    /// The sort_key of a job.
+    pub(crate) fn sort_key(&self, job: JobKey) -> Option<SortKey> {
+        self.sort_keys.get(job).copied()
     }
 
     /// How many jobs are held.
--- a/lib/src/ordered_queue.rs
+++ b/lib/src/ordered_queue.rs
@@ -5,16 +5,16 @@
 use crate::keys::JobKey;
 use crate::keys::TeamKey;
 use crate::ordered_jobs::OrderedJobs;
-use crate::ordered_jobs::Place;
+use crate::ordered_jobs::SortKey;
 use crate::queue::JobQueue;
 use crate::queue::QueueBacklog;
 use crate::queue::QueueEntry;
 use crate::queue::SCAN_LIMIT;
-use crate::queued_tasks::QueuedTasks;
+use crate::remaining_tasks::RemainingTasks;
 use crate::size_class::SizeClass;
 use crate::time::Timestamp;
 
-/// What a job's place in the order is.
+/// What a job's sort_key in the order is.
 #[derive(Clone, Copy, Debug)]
 enum Order {
     Arrival,
@@ -26,7 +26,7 @@
 pub struct OrderedQueue {
     order: Order,
     jobs: OrderedJobs,
-    tasks: QueuedTasks,
+    remaining_tasks: RemainingTasks,
     arrivals: u64,
 }
 
@@ -45,7 +45,7 @@
         OrderedQueue {
             order,
             jobs: OrderedJobs::default(),
-            tasks: QueuedTasks::default(),
+            remaining_tasks: RemainingTasks::default(),
             arrivals: 0,
         }
     }
@@ -58,30 +58,30 @@
             Order::Deadline => entry.deadline,
         };
         self.arrivals += 1;
-        let place = Place {
+        let sort_key = SortKey {
             rank: rank.as_us(),
             arrival: self.arrivals,
         };
-        self.jobs.insert(entry.job, place);
-        self.tasks.set(entry.job, entry.remaining);
+        self.jobs.insert(entry.job, sort_key);
+        self.remaining_tasks.set(entry.job, entry.remaining);
     }
 
     fn update(&mut self, job: JobKey, remaining: u32) {
-        if self.tasks.contains(job) {
-            self.tasks.set(job, remaining);
+        if self.remaining_tasks.contains(job) {
+            self.remaining_tasks.set(job, remaining);
         }
     }
 
     fn remove(&mut self, job: JobKey) {
         self.jobs.remove(job);
-        self.tasks.remove(job);
+        self.remaining_tasks.remove(job);
     }
 
     fn next(&mut self, _now: Timestamp, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
         self.jobs
             .iter()
             .take(SCAN_LIMIT)
-            .map(|placed| placed.job)
+            .map(|ordered| ordered.job)
             .find(|job| fits(*job))
     }
 
@@ -89,7 +89,7 @@
 
     fn backlog(&mut self, _now: Timestamp, _tasks: u32) -> QueueBacklog {
         QueueBacklog {
-            tasks_ahead: self.tasks.up_to(SizeClass::LAST),
+            tasks_ahead: self.remaining_tasks.up_to(SizeClass::LAST),
             overtaking_slots: 0,
         }
     }
--- a/lib/src/queued_tasks.rs
+++ b/lib/src/remaining_tasks.rs
@@ -8,23 +8,23 @@
 
 /// The remaining tasks of queued jobs, summed by size class.
 #[derive(Debug, Default)]
-pub(crate) struct QueuedTasks {
+pub(crate) struct RemainingTasks {
     remaining: SecondaryMap<JobKey, u32>,
     by_class: [u64; SIZE_CLASSES],
 }
 
-impl QueuedTasks {
+impl RemainingTasks {
     /// Adds a job, or sets the remaining tasks of one already held.
     pub(crate) fn set(&mut self, job: JobKey, remaining: u32) {
         self.remove(job);
         self.remaining.insert(job, remaining);
-        *self.sum_of(remaining) += u64::from(remaining);
+        *self.class_total(remaining) += u64::from(remaining);
     }
 
     /// Takes a job out.
     pub(crate) fn remove(&mut self, job: JobKey) {
         if let Some(remaining) = self.remaining.remove(job) {
-            *self.sum_of(remaining) -= u64::from(remaining);
+            *self.class_total(remaining) -= u64::from(remaining);
         }
     }
 
@@ -39,7 +39,7 @@
         u32::try_from(sum).unwrap_or(u32::MAX)
     }
 
-    fn sum_of(&mut self, remaining: u32) -> &mut u64 {
+    fn class_total(&mut self, remaining: u32) -> &mut u64 {
         &mut self.by_class[SizeClass::of(u64::from(remaining)).index()]
     }
 }
--- a/lib/src/team_share.rs
+++ b/lib/src/team_queue.rs
@@ -1,39 +1,39 @@
 //! One team's part in a fair queue.
 
 use crate::keys::JobKey;
+use crate::ordered_jobs::OrderedJob;
 use crate::ordered_jobs::OrderedJobs;
-use crate::ordered_jobs::Place;
-use crate::ordered_jobs::PlacedJob;
+use crate::ordered_jobs::SortKey;
 use crate::recent_service::RecentService;
 use crate::size_class::SizeClass;
 
 /// A team's queued jobs in two orders, and the service it had of late.
 #[derive(Debug, Default)]
-pub(crate) struct TeamShare {
+pub(crate) struct TeamQueue {
     pub(crate) weight: u32,
-    pub(crate) usage: RecentService,
-    pub(crate) last_started: SizeClass,
+    pub(crate) recent_service: RecentService,
+    pub(crate) last_started_class: SizeClass,
     by_remaining: OrderedJobs,
     by_arrival: OrderedJobs,
-    fewest: Option<PlacedJob>,
-    oldest: Option<PlacedJob>,
+    fewest: Option<OrderedJob>,
+    oldest: Option<OrderedJob>,
 }
 
-impl TeamShare {
+impl TeamQueue {
     /// Adds a job, whose rank is its remaining tasks.
-    pub(crate) fn insert(&mut self, job: JobKey, place: Place) {
-        let arrived = Place {
-            rank: place.arrival,
-            ..place
+    pub(crate) fn insert(&mut self, job: JobKey, sort_key: SortKey) {
+        let arrived = SortKey {
+            rank: sort_key.arrival,
+            ..sort_key
         };
         self.by_arrival.insert(job, arrived);
         self.oldest = self.by_arrival.first();
-        self.update(job, place);
+        self.update(job, sort_key);
     }
 
     /// Moves a job in the order of remaining tasks.
-    pub(crate) fn update(&mut self, job: JobKey, place: Place) {
-        self.by_remaining.insert(job, place);
+    pub(crate) fn update(&mut self, job: JobKey, sort_key: SortKey) {
+        self.by_remaining.insert(job, sort_key);
         self.fewest = self.by_remaining.first();
     }
 
@@ -46,29 +46,29 @@
     }
 
     /// Notes that a task of `job` starts, whose cost is charged next.
-    pub(crate) fn note_start(&mut self, job: JobKey) {
-        if let Some(place) = self.by_remaining.place(job) {
-            self.last_started = SizeClass::of(place.rank);
+    pub(crate) fn record_start(&mut self, job: JobKey) {
+        if let Some(sort_key) = self.by_remaining.sort_key(job) {
+            self.last_started_class = SizeClass::of(sort_key.rank);
         }
     }
 
     /// Counts service to the job that started last.
     pub(crate) fn charge(&mut self, served_us: f64) {
-        self.usage.add(self.last_started, served_us);
+        self.recent_service.add(self.last_started_class, served_us);
     }
 
     /// The job with the fewest remaining tasks.
-    pub(crate) fn fewest(&self) -> Option<PlacedJob> {
+    pub(crate) fn fewest(&self) -> Option<OrderedJob> {
         self.fewest
     }
 
     /// The job that arrived first.
-    pub(crate) fn oldest(&self) -> Option<PlacedJob> {
+    pub(crate) fn oldest(&self) -> Option<OrderedJob> {
         self.oldest
     }
 
-    /// The job that comes after `placed` in the order of remaining tasks.
-    pub(crate) fn after(&self, placed: PlacedJob) -> Option<PlacedJob> {
-        self.by_remaining.after(placed)
+    /// The job that comes after `ordered` in the order of remaining tasks.
+    pub(crate) fn after(&self, ordered: OrderedJob) -> Option<OrderedJob> {
+        self.by_remaining.after(ordered)
     }
 }
