--- a/lib/benches/queue_trial.rs
+++ b/lib/benches/queue_trial.rs
@@ -243,10 +243,10 @@
     );
 }
 
-fn fair(full_share_penalty_tasks: u32, oldest_every: u32) -> Box<dyn JobQueue> {
+fn fair(full_share_penalty_tasks: u32, oldest_interval_starts: u32) -> Box<dyn JobQueue> {
     Box::new(FairQueue::new(FairSettings {
         full_share_penalty_tasks,
-        oldest_every,
+        oldest_interval_starts,
     }))
 }
 
@@ -278,10 +278,10 @@
                 fair(penalty_tasks, 16),
             ));
         }
-        for oldest_every in [0, 4, 8] {
+        for oldest_interval_starts in [0, 4, 8] {
             rows.push((
-                format!("fewest remaining, penalty 4000, oldest 1 in {oldest_every}"),
-                fair(4_000, oldest_every),
+                format!("fewest remaining, penalty 4000, oldest 1 in {oldest_interval_starts}"),
+                fair(4_000, oldest_interval_starts),
             ));
         }
         for (name, mut queue) in rows {
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -25,7 +25,7 @@
 pub const FULL_SHARE_PENALTY_TASKS: u32 = 4_000;
 
 /// Every how many starts the job that waits longest goes first.
-pub const OLDEST_EVERY: u32 = 16;
+pub const OLDEST_INTERVAL_STARTS: u32 = 16;
 
 /// The time in which the memory of service falls to a factor of 1/e.
 const SERVICE_DECAY_TIME: Duration = Duration::from_secs(2);
@@ -40,14 +40,14 @@
     /// The tasks by which a team's jobs are put back when it has had all recent service.
     pub full_share_penalty_tasks: u32,
     /// Every how many starts the job that waits longest goes first; zero for never.
-    pub oldest_every: u32,
+    pub oldest_interval_starts: u32,
 }
 
 impl Default for FairSettings {
     fn default() -> Self {
         FairSettings {
             full_share_penalty_tasks: FULL_SHARE_PENALTY_TASKS,
-            oldest_every: OLDEST_EVERY,
+            oldest_interval_starts: OLDEST_INTERVAL_STARTS,
         }
     }
 }
@@ -74,7 +74,7 @@
 /// counted, so a team's large jobs do not hold up its small ones, and a team that floods with
 /// small jobs falls behind the others' large ones.
 ///
-/// One start in [`FairSettings::oldest_every`] goes to the job that arrived first, so no job
+/// One start in [`FairSettings::oldest_interval_starts`] goes to the job that arrived first, so no job
 /// starves, and the rest of the starts are not slowed down by jobs that wait long.
 #[derive(Debug, Default)]
 pub struct FairQueue {
@@ -136,7 +136,11 @@
 
     /// The job that arrived first, when this start is one for it.
     fn oldest_if_due(&self) -> Option<JobKey> {
-        if self.starts == 0 || !self.starts.is_multiple_of(self.settings.oldest_every) {
+        if self.starts == 0
+            || !self
+                .starts
+                .is_multiple_of(self.settings.oldest_interval_starts)
+        {
             return None;
         }
         let oldest = self.teams.values().filter_map(TeamQueue::oldest).min()?;
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -57,7 +57,7 @@
 
 fn fewest_first() -> FairQueue {
     FairQueue::new(FairSettings {
-        oldest_every: 0,
+        oldest_interval_starts: 0,
         ..FairSettings::default()
     })
 }
