--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -1,4 +1,4 @@
-//! How many waiting tasks go to which sibling, as a policy.
+//! The overflow policy: how many waiting tasks are forwarded to which sibling.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::overflow_eager::EagerOverflow;
 use crate::policies::Prefer;
 
-/// The tasks of one service that wait here.
+/// The tasks of one service that wait at this entry instance, and the slots that it owns.
 #[value]
 #[derive(Copy)]
 pub struct OverflowDemand {
@@ -18,11 +18,11 @@
     pub waiting_tasks: u32,
     /// The slots that this entry instance owns.
     pub own_slots: u32,
-    /// The slots of them that are free.
+    /// How many of the owned slots are free.
     pub own_free_slots: u32,
-    /// All tasks that wait here for a slot, those included.
+    /// All tasks that wait here for a slot, including `waiting_tasks`.
     pub queued_tasks: u32,
-    /// How long a task is expected to run.
+    /// The estimated run time of one task.
     pub run_estimate: Duration,
     /// The time until the earliest deadline among the waiting tasks.
     pub time_left: Duration,
@@ -31,7 +31,8 @@
 impl OverflowDemand {
     /// How many of the waiting tasks would wait here longer than `wait`.
     ///
-    /// Slots come free at an even pace; a task that may not be forwarded waits before the others.
+    /// Assumes that slots become free at a constant rate, and that tasks which may not be forwarded
+    /// start before the others.
     pub(crate) fn tasks_that_wait_longer_than(&self, wait: Duration) -> u32 {
         if self.own_slots == 0 {
             return self.waiting_tasks;
@@ -45,51 +46,51 @@
             .min(self.waiting_tasks)
     }
 
-    /// Whether a task that starts at `sibling` on arrival can be back before its deadline.
+    /// Whether a task that starts at `sibling` on arrival can return its answer before the deadline.
     pub(crate) fn can_finish_at(&self, sibling: &SiblingCapacity) -> bool {
         sibling.one_way * 2 + self.run_estimate <= self.time_left
     }
 }
 
-/// What is known of a sibling entry instance, for one service.
+/// The last reported capacity of a sibling entry instance for one service.
 #[value]
 #[derive(Copy)]
 pub struct SiblingCapacity {
     /// The sibling.
     pub sibling: SiblingKey,
-    /// Its free slots, less the tasks already on their way there.
+    /// Its free slots, minus the tasks forwarded to it since it reported them.
     pub free_slots: u32,
     /// The tasks that wait there for a slot.
     pub queued_tasks: u32,
     /// The slots that it owns.
     pub slots: u32,
-    /// The time of a message to it.
+    /// The one-way network time to it.
     pub one_way: Duration,
     /// Whether it is in this data centre.
     pub same_data_centre: bool,
 }
 
-/// Tasks that go to one sibling, in one batch.
+/// A number of tasks to forward to one sibling.
 #[value]
 #[derive(Copy)]
-pub struct OverflowShare {
-    /// The sibling.
+pub struct OverflowBatch {
+    /// The sibling that receives the tasks.
     pub sibling: SiblingKey,
-    /// How many tasks, never zero.
+    /// How many tasks; never zero.
     pub tasks: u32,
 }
 
-/// Splits waiting tasks among siblings.
+/// Decides how waiting tasks are split among siblings.
 pub trait Overflow: Send + Debug {
-    /// The batches to forward; together no more than the waiting tasks beyond the own free slots.
+    /// The batches to forward; in total at most the waiting tasks that exceed the own free slots.
     fn split(
         &mut self,
         demand: &OverflowDemand,
         siblings: &[SiblingCapacity],
-    ) -> Vec<OverflowShare>;
+    ) -> Vec<OverflowBatch>;
 }
 
-/// The split for what the document weighs more.
+/// The overflow policy for the document's `prefer` setting.
 pub fn overflow_for(prefer: Prefer) -> Box<dyn Overflow> {
     match prefer {
         Prefer::ResponseTime => Box::new(EagerOverflow),
--- a/lib/src/overflow_batch.rs
+++ b/lib/src/overflow_batch.rs
@@ -1,45 +1,48 @@
-//! Batches of overflow to siblings in a given order.
+//! The batches of waiting tasks to forward to siblings, which are considered in a given order.
 
 use std::time::Duration;
 
+use crate::overflow::OverflowBatch;
 use crate::overflow::OverflowDemand;
-use crate::overflow::OverflowShare;
 use crate::overflow::SiblingCapacity;
 
-/// What makes a batch worth sending.
+/// The minimum size and gain of a batch that is worth sending.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct BatchBounds {
-    /// The fewest tasks in it.
-    pub(crate) fewest_tasks: u32,
-    /// The wait that each task must be spared, beyond the way there and back.
-    pub(crate) saved_wait: Duration,
+pub(crate) struct BatchThresholds {
+    /// The minimum number of tasks in a batch.
+    pub(crate) min_tasks: u32,
+    /// The minimum wait that forwarding saves each task, round trip already subtracted.
+    pub(crate) min_saved_wait: Duration,
 }
 
-/// The batches that are worth sending, each filling a sibling's free slots before the next.
+/// Plans the batches that are worth sending, filling one sibling's free slots before the next.
 ///
-/// A sibling whose own tasks wait gets none, nor one whose answers would come past the deadline.
-pub(crate) fn batches(
+/// A sibling gets no batch while its own tasks wait, or when its answers would arrive after the
+/// deadline.
+pub(crate) fn plan_batches(
     demand: &OverflowDemand,
     siblings: &[&SiblingCapacity],
-    bounds: BatchBounds,
-) -> Vec<OverflowShare> {
+    thresholds: BatchThresholds,
+) -> Vec<OverflowBatch> {
     let mut forwarded = 0;
-    let mut shares = Vec::new();
+    let mut batches = Vec::new();
     for sibling in siblings {
         if sibling.queued_tasks > 0 || !demand.can_finish_at(sibling) {
             continue;
         }
-        let least_wait = sibling.one_way * 2 + bounds.saved_wait;
-        let gaining = demand.tasks_that_wait_longer_than(least_wait);
-        let tasks = gaining.saturating_sub(forwarded).min(sibling.free_slots);
-        if tasks < bounds.fewest_tasks {
+        let min_wait = sibling.one_way * 2 + thresholds.min_saved_wait;
+        let worth_forwarding = demand.tasks_that_wait_longer_than(min_wait);
+        let tasks = worth_forwarding
+            .saturating_sub(forwarded)
+            .min(sibling.free_slots);
+        if tasks < thresholds.min_tasks {
             continue;
         }
         forwarded += tasks;
-        shares.push(OverflowShare {
+        batches.push(OverflowBatch {
             sibling: sibling.sibling,
             tasks,
         });
     }
-    shares
+    batches
 }
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -1,4 +1,4 @@
-//! The split of overflow among siblings.
+//! How overflow policies split waiting tasks among siblings.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Siblings by their free slots and the milliseconds to them.
+/// Siblings with the given free slots and one-way times in milliseconds.
 fn siblings(capacities: &[(u32, u64)]) -> Vec<SiblingCapacity> {
     let mut keys: SlotMap<SiblingKey, ()> = SlotMap::with_key();
     capacities
@@ -39,16 +39,16 @@
         .collect()
 }
 
-/// Tasks given to each sibling.
+/// How many tasks each sibling gets.
 fn split(prefer: Prefer, demand: &OverflowDemand, siblings: &[SiblingCapacity]) -> Vec<u32> {
-    let shares = overflow_for(prefer).split(demand, siblings);
+    let batches = overflow_for(prefer).split(demand, siblings);
     siblings
         .iter()
         .map(|sibling| {
-            shares
+            batches
                 .iter()
-                .filter(|share| share.sibling == sibling.sibling)
-                .map(|share| share.tasks)
+                .filter(|batch| batch.sibling == sibling.sibling)
+                .map(|batch| batch.tasks)
                 .sum()
         })
         .collect()
@@ -69,7 +69,8 @@
         time_left: Duration::from_millis(301),
         ..demand(100)
     };
-    // One task starts here every 5.4 ms: who waits no longer than the way there and back stays.
+    // A task starts here every 5.4 ms (300 ms / 56 slots): tasks that wait no longer than the round
+    // trip are not forwarded.
     let cases = [
         ("few wait", Prefer::ResponseTime, demand(4), [0, 4, 0]),
         ("many wait", Prefer::ResponseTime, demand(30), [10, 5, 15]),
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn siblings_that_queue_get_nothing() {
+fn siblings_with_queued_tasks_get_nothing() {
     let mut capacities = siblings(&[(50, 1)]);
     capacities[0].queued_tasks = 1;
     for prefer in [Prefer::ResponseTime, Prefer::FewerMessages] {
@@ -120,7 +121,7 @@
 }
 
 #[test]
-fn shares_never_exceed_demand_or_capacity() {
+fn batches_never_exceed_demand_or_capacity() {
     let mut rng = StdRng::seed_from_u64(5);
     for _ in 0..2_000 {
         let capacities: Vec<(u32, u64)> = (0..rng.random_range(0..8))
