--- a/lib/src/admission.rs
+++ b/lib/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a job is taken or refused at once, as a policy.
+//! The admission policy: whether a new job enters the queue or is refused at once.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -11,57 +11,57 @@
 use crate::queue_length::QueueLength;
 use crate::run_estimate::RunEstimateReading;
 
-/// A job at the door, and what is ahead of it.
+/// A job that asks for admission, and the load of its service at that moment.
 #[value]
 #[derive(Copy)]
 pub struct AdmissionLoad {
-    /// The tasks of the job.
+    /// The number of tasks in the job.
     pub tasks: u32,
-    /// The tasks that wait for a slot.
+    /// The number of tasks that wait for a slot.
     pub queued_tasks: u32,
-    /// The estimated run time of the queued tasks that go before the job.
+    /// The total estimated run time of the queued tasks that start before the job's.
     ///
     /// See [`crate::queue::QueueBacklog::tasks_ahead`].
     pub queued_work: Duration,
-    /// The tasks that run.
+    /// The number of tasks that run.
     pub running: u32,
-    /// The slots that tasks of the service may use, of ejected upstreams left out.
+    /// The slots that tasks of the service may use, without those of ejected upstreams.
     pub slots: u32,
-    /// The slots of them that jobs which pass this one were served of late.
+    /// How many of these slots were recently used by jobs that overtake this one.
     ///
-    /// See [`crate::queue::QueueBacklog::overtaking_slots`]; zero when no job passes another.
+    /// See [`crate::queue::QueueBacklog::overtaking_slots`]; zero when no job overtakes another.
     pub overtaking_slots: u32,
-    /// How long a task of the job is expected to run.
+    /// The estimated run time of one task of the job.
     pub run_estimate: RunEstimateReading,
     /// The time until the job's deadline.
     pub time_left: Duration,
-    /// The most tasks that may wait for a slot.
+    /// The maximum number of tasks that may wait for a slot.
     pub max_queued_tasks: u32,
-    /// A number that differs from job to job, which spreads the times of refused callers.
+    /// A number that differs from job to job; it seeds the jitter of [`Refusal::retry_after`].
     pub jitter_seed: u32,
 }
 
-/// A job that is not taken; nothing of it runs.
+/// The answer to a job that is not admitted; none of its tasks run.
 #[value]
 #[derive(Copy)]
 pub struct Refusal {
-    /// Why.
+    /// Why the job is refused.
     pub reason: NotRunReason,
-    /// When another try is expected to succeed, never zero.
+    /// The time after which another try is expected to succeed; never zero.
     pub retry_after: Duration,
 }
 
-/// Takes whole jobs or refuses them.
+/// Decides whether a job is admitted; a job is admitted or refused as a whole.
 pub trait Admission: Send + Debug {
-    /// Whether the job may enter the queue.
+    /// Checks whether the job may enter the queue.
     ///
     /// # Errors
     ///
-    /// The refusal to answer with.
+    /// The reason for the refusal and the time after which to retry.
     fn admit(&self, load: &AdmissionLoad) -> Result<(), Refusal>;
 }
 
-/// The admission that the document asks for.
+/// The admission policy that the document selects.
 pub fn admission_for(policy: AdmissionPolicy) -> Box<dyn Admission> {
     match policy {
         AdmissionPolicy::EstimatedFinish => Box::new(EstimatedFinish),
--- a/lib/src/choice.rs
+++ b/lib/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an upstream for the next task, as a policy.
+//! The choice policy: which upstream runs the next task.
 
 use std::fmt::Debug;
 
@@ -14,18 +14,18 @@
 #[value]
 #[derive(Copy)]
 pub struct Candidate {
-    /// The upstream.
+    /// The key of the upstream.
     pub upstream: UpstreamKey,
-    /// The tasks that run there for this entry instance.
+    /// The number of tasks that run there for this entry instance.
     pub in_flight: u32,
-    /// The slots it may fill, after slow upstreams are weighted down.
+    /// The slots that this instance may use there; fewer than configured for a slow upstream.
     pub slots: u32,
-    /// The recent latency of tasks that finished there, in microseconds; failures do not count.
+    /// The recent latency of tasks that finished there, in microseconds, without failed ones.
     pub recent_latency_us: u64,
 }
 
 impl Candidate {
-    /// Whether this candidate carries less load per slot than `other`; ties go by latency.
+    /// Whether this candidate has fewer tasks per slot than `other`, or as many and less latency.
     pub(crate) fn is_less_loaded_than(&self, other: &Candidate) -> bool {
         let own_load = u64::from(self.in_flight) * u64::from(other.slots);
         let other_load = u64::from(other.in_flight) * u64::from(self.slots);
@@ -33,15 +33,15 @@
     }
 }
 
-/// Chooses an upstream among those that have a free slot.
+/// Chooses one of the upstreams that have a free slot.
 pub trait Choice: Send + Debug {
-    /// The index of the chosen candidate, none when there is no candidate.
+    /// The index of the chosen candidate; `None` when there are no candidates.
     ///
     /// Every candidate must have fewer tasks in flight than slots.
     fn choose(&mut self, candidates: &[Candidate]) -> Option<usize>;
 }
 
-/// The choice that the document asks for; `seed` starts its random draws, if it has any.
+/// The choice policy that the document selects; `seed` seeds its random numbers, if it uses any.
 pub fn choice_for(policy: ChoicePolicy, seed: u64) -> Box<dyn Choice> {
     match policy {
         ChoicePolicy::LeastLoaded => Box::new(LeastLoaded::default()),
--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -1,4 +1,4 @@
-//! Refusal when the estimated finish is past the deadline.
+//! The admission policy that refuses jobs whose estimated finish is past their deadline.
 
 use std::time::Duration;
 
@@ -9,65 +9,65 @@
 use crate::queue_length::QueueLength;
 use crate::retry_after::retry_after;
 
-/// The share by which the wait is taken longer than estimated, as a divisor.
+/// The safety margin that is added to the estimated wait, as a divisor of it.
 const WAIT_MARGIN_DIVISOR: u32 = 4;
 
-/// How many times its deadline a job must be estimated to run before it is hopeless.
+/// A job counts as infeasible when its estimated run time exceeds its time left by this factor.
 const INFEASIBLE_FACTOR: u32 = 2;
 
-/// The measured run times from which a job is held to be hopeless.
-const MIN_SAMPLES: u64 = 20;
+/// The minimum number of measured run times for a job to count as infeasible.
+const MIN_INFEASIBLE_SAMPLES: u64 = 20;
 
-/// The part of the slots that a job always counts on, as a divisor.
-const LEAST_SLOTS_DIVISOR: u32 = 20;
+/// The minimum share of the slots that an estimate assumes for a job, as a divisor of all slots.
+const MIN_SLOTS_DIVISOR: u32 = 20;
 
-/// Refuses a job that is expected to miss its deadline, or that the queue's bound refuses.
+/// Refuses a job that is expected to miss its deadline, or that [`QueueLength`] refuses.
 ///
-/// The finish is the wait for the work ahead, plus the job's own work and the run of its longest
-/// task. Both kinds of work are over the slots that smaller jobs leave, for these go on arriving
-/// and pass it in the queue. With no wait a job is taken unless it is hopeless: estimates can be wrong,
-/// and nobody else is held up.
+/// The estimated finish is the wait for the work ahead, plus the job's own work, plus the run time
+/// of its longest task. Both kinds of work are divided by the slots that overtaking jobs leave,
+/// because smaller jobs keep arriving and overtake it in the queue. A job that can start at once is
+/// admitted unless it is infeasible: estimates can be wrong, and it delays no other job.
 #[derive(Debug)]
 pub struct EstimatedFinish;
 
 impl Admission for EstimatedFinish {
     fn admit(&self, load: &AdmissionLoad) -> Result<(), Refusal> {
-        let room = QueueLength.admit(load);
+        let length_check = QueueLength.admit(load);
         if load.slots == 0 {
-            return room;
+            return length_check;
         }
-        match (room, refuse_late(load)) {
-            (Err(full), Err(late)) => Err(Refusal {
-                retry_after: full.retry_after.max(late.retry_after),
-                ..full
+        match (length_check, check_deadline(load)) {
+            (Err(queue_full), Err(late)) => Err(Refusal {
+                retry_after: queue_full.retry_after.max(late.retry_after),
+                ..queue_full
             }),
-            (Err(full), Ok(())) => Err(full),
-            (Ok(()), in_time) => in_time,
+            (Err(queue_full), Ok(())) => Err(queue_full),
+            (Ok(()), deadline_check) => deadline_check,
         }
     }
 }
 
-fn refuse_late(load: &AdmissionLoad) -> Result<(), Refusal> {
-    let wait = wait(load);
-    let run = own_run_time(load);
+fn check_deadline(load: &AdmissionLoad) -> Result<(), Refusal> {
+    let wait = start_wait(load);
+    let run_time = own_run_time(load);
     if wait.is_zero() {
-        return refuse_infeasible(load, run);
+        return check_feasible(load, run_time);
     }
     let margin = wait / WAIT_MARGIN_DIVISOR;
-    let finish = wait + margin + run;
+    let finish = wait + margin + run_time;
     if finish <= load.time_left {
         return Ok(());
     }
-    let late = finish - load.time_left;
+    let lateness = finish - load.time_left;
     let capacity_in = match load.overtaking_slots {
-        0 => late.min(wait),
-        _ => late,
+        0 => lateness.min(wait),
+        _ => lateness,
     };
     Err(overloaded(capacity_in, load.jitter_seed))
 }
 
-/// The time until the first of the job's tasks can start.
-fn wait(load: &AdmissionLoad) -> Duration {
+/// The time until the job's first task can start; zero when a slot is free and nothing is queued.
+fn start_wait(load: &AdmissionLoad) -> Duration {
     if load.queued_tasks == 0 && load.running < load.slots {
         return Duration::ZERO;
     }
@@ -76,16 +76,18 @@
     load.queued_work / slots + next_free
 }
 
-/// The slots that jobs which pass this one leave to it.
+/// The slots that overtaking jobs leave to this one, at least 1 / [`MIN_SLOTS_DIVISOR`] of them.
 fn slots_left(load: &AdmissionLoad) -> u32 {
-    let least = (load.slots / LEAST_SLOTS_DIVISOR).max(1);
-    load.slots.saturating_sub(load.overtaking_slots).max(least)
+    let min_slots = (load.slots / MIN_SLOTS_DIVISOR).max(1);
+    load.slots
+        .saturating_sub(load.overtaking_slots)
+        .max(min_slots)
 }
 
-/// The run of the whole job once its first task starts.
+/// The time that the whole job runs once its first task has started.
 ///
-/// A task of high run time may be among them, which is allowed for in up to half the time left: a
-/// job that has less time takes that risk even when nobody waits.
+/// The job may contain a task of high run time. The estimate allows at most half of the time left
+/// for it; a job with less time runs that risk even when the queue is empty.
 fn own_run_time(load: &AdmissionLoad) -> Duration {
     let mean = load.run_estimate.mean;
     let others = load.tasks.saturating_sub(1);
@@ -93,10 +95,10 @@
     mean.saturating_mul(others) / slots_left(load) + longest.min(load.time_left / 2).max(mean)
 }
 
-fn refuse_infeasible(load: &AdmissionLoad, run: Duration) -> Result<(), Refusal> {
-    let is_known = load.run_estimate.samples >= MIN_SAMPLES;
-    if is_known && run > load.time_left.saturating_mul(INFEASIBLE_FACTOR) {
-        return Err(overloaded(run, load.jitter_seed));
+fn check_feasible(load: &AdmissionLoad, run_time: Duration) -> Result<(), Refusal> {
+    let is_known = load.run_estimate.samples >= MIN_INFEASIBLE_SAMPLES;
+    if is_known && run_time > load.time_left.saturating_mul(INFEASIBLE_FACTOR) {
+        return Err(overloaded(run_time, load.jitter_seed));
     }
     Ok(())
 }
--- a/lib/src/least_loaded.rs
+++ b/lib/src/least_loaded.rs
@@ -1,9 +1,11 @@
-//! The upstream with the fewest tasks in flight per slot.
+//! The choice policy that takes the upstream with the fewest tasks in flight per slot.
 
 use crate::choice::Candidate;
 use crate::choice::Choice;
 
-/// Chooses the fewest tasks in flight per slot, ties by recent latency, then in turn.
+/// Chooses the candidate with the fewest tasks in flight per slot.
+///
+/// Ties are broken by recent latency, then by round robin.
 #[derive(Debug, Default)]
 pub struct LeastLoaded {
     start: usize,
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -46,7 +46,7 @@
             .min(self.waiting_tasks)
     }
 
-    /// Whether a task that starts at `sibling` on arrival can return its answer before the deadline.
+    /// Whether the answer of a task that starts at `sibling` on arrival can be back in time.
     pub(crate) fn can_finish_at(&self, sibling: &SiblingCapacity) -> bool {
         sibling.one_way * 2 + self.run_estimate <= self.time_left
     }
--- a/lib/src/power_of_two.rs
+++ b/lib/src/power_of_two.rs
@@ -1,4 +1,4 @@
-//! The less loaded of two upstreams drawn at random.
+//! The choice policy "power of two choices": the less loaded of two random upstreams.
 
 use rand::RngExt;
 use rand::SeedableRng;
@@ -7,14 +7,14 @@
 use crate::choice::Candidate;
 use crate::choice::Choice;
 
-/// Draws two candidates and chooses the less loaded one.
+/// Draws two candidates at random and chooses the less loaded one.
 #[derive(Debug)]
 pub struct PowerOfTwo {
     rng: StdRng,
 }
 
 impl PowerOfTwo {
-    /// A choice whose draws start from `seed`.
+    /// Creates the policy with a random generator seeded by `seed`.
     pub fn new(seed: u64) -> Self {
         PowerOfTwo {
             rng: StdRng::seed_from_u64(seed),
--- a/lib/src/queue_length.rs
+++ b/lib/src/queue_length.rs
@@ -1,4 +1,4 @@
-//! Refusal when the queue holds its bound of tasks.
+//! The admission policy that refuses jobs which exceed the maximum queue length.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use crate::outcome::NotRunReason;
 use crate::retry_after::retry_after;
 
-/// When to try again while no upstream takes work.
+/// The retry time while the service has no usable slots.
 const NO_SLOT_WAIT: Duration = Duration::from_secs(1);
 
-/// Refuses a job only when its tasks do not fit into the queue's bound.
+/// Refuses a job when its tasks would exceed the maximum queue length, or when there are no slots.
 ///
-/// A job larger than the bound is taken when nothing is queued, so that it is not refused for ever.
+/// A job larger than the maximum is admitted while nothing is queued; otherwise it would never be.
 #[derive(Debug)]
 pub struct QueueLength;
 
--- a/lib/src/round_robin.rs
+++ b/lib/src/round_robin.rs
@@ -1,10 +1,10 @@
-//! Each upstream in turn.
+//! The choice policy that takes the upstreams in turn.
 
 use crate::choice::Candidate;
 use crate::choice::Choice;
 use crate::keys::UpstreamKey;
 
-/// Chooses the candidate whose key follows the last chosen one, whatever its load.
+/// Chooses the candidate with the next key after the last chosen one, regardless of load.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     last: Option<UpstreamKey>,
--- a/lib/tests/admission_control.rs
+++ b/lib/tests/admission_control.rs
@@ -1,4 +1,4 @@
-//! Admission, run estimates and the retry budget.
+//! Admission policies, run time estimates and the retry budget.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 const MEAN: Duration = Duration::from_millis(100);
 
-/// A single task at an idle site of ten slots.
+/// A job of one task at an idle service with ten slots.
 fn idle() -> AdmissionLoad {
     AdmissionLoad {
         tasks: 1,
@@ -36,7 +36,7 @@
     }
 }
 
-/// The same with `queued_tasks` ahead.
+/// The same job while all slots are busy and `queued_tasks` tasks are ahead of it.
 fn queued(queued_tasks: u32) -> AdmissionLoad {
     AdmissionLoad {
         queued_tasks,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn refusals_have_their_reasons() {
+fn refusal_reason_matches_the_load() {
     let cases = [
         ("idle", idle(), None),
         ("short queue", queued(50), None),
@@ -68,7 +68,7 @@
             None,
         ),
         (
-            "hopeless",
+            "infeasible",
             AdmissionLoad {
                 tasks: 400,
                 ..idle()
@@ -76,7 +76,7 @@
             Some(NotRunReason::Overloaded),
         ),
         (
-            "smaller jobs take the slots",
+            "overtaking jobs use most slots",
             AdmissionLoad {
                 tasks: 40,
                 overtaking_slots: 9,
@@ -85,7 +85,7 @@
             Some(NotRunReason::Overloaded),
         ),
         (
-            "the same with the slots left to it",
+            "the same without overtaking jobs",
             AdmissionLoad {
                 tasks: 40,
                 ..queued(1)
@@ -93,7 +93,7 @@
             None,
         ),
         (
-            "close, and nobody waits",
+            "slightly late, and nothing is queued",
             AdmissionLoad {
                 tasks: 110,
                 ..idle()
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_followed_refusal_succeeds() {
+fn retry_after_a_refusal_succeeds() {
     let admission = admission_for(AdmissionPolicy::EstimatedFinish);
     for queued_tasks in [70, 80, 90, 150, 500, 1_000, 1_200] {
         for tasks in [1, 10, 40] {
@@ -131,8 +131,8 @@
                     continue;
                 };
                 assert!(refusal.retry_after > Duration::ZERO);
-                let done = refusal.retry_after.div_duration_f64(MEAN) * 10.0;
-                let left = queued_tasks.saturating_sub(done as u32);
+                let done_tasks = refusal.retry_after.div_duration_f64(MEAN) * 10.0;
+                let left = queued_tasks.saturating_sub(done_tasks as u32);
                 let later = AdmissionLoad {
                     tasks,
                     ..queued(left)
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn refused_callers_do_not_come_back_together() {
+fn retry_times_of_refused_callers_are_spread() {
     let admission = admission_for(AdmissionPolicy::EstimatedFinish);
     let mut waits: Vec<Duration> = (0..100)
         .map(|jitter_seed| {
@@ -160,12 +160,12 @@
     let capacity_in = waits[0];
     assert!(waits[99] > capacity_in.mul_f64(1.45), "{waits:?}");
     assert!(waits[99] <= capacity_in.mul_f64(1.5), "{waits:?}");
-    let widest = waits.windows(2).map(|pair| pair[1] - pair[0]).max();
-    assert!(widest <= Some(capacity_in / 50), "{waits:?}");
+    let widest_gap = waits.windows(2).map(|pair| pair[1] - pair[0]).max();
+    assert!(widest_gap <= Some(capacity_in / 50), "{waits:?}");
 }
 
 #[test]
-fn declared_run_times_are_bounded_before_samples() {
+fn declared_run_times_are_clamped_before_samples() {
     let cases = [
         (None, DEFAULT_RUN),
         (Some(Duration::from_millis(700)), Duration::from_millis(700)),
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn runs_are_measured() {
+fn estimate_follows_measured_run_times() {
     let mut estimate = RunEstimate::default();
     for step in 0..5_000 {
         estimate.record(Duration::from_millis(10 + step % 100 * 10));
@@ -192,37 +192,39 @@
     assert!((940..=1_300).contains(&high_ms), "{high_ms}");
 }
 
-/// The estimate for a task declared at 100 ms, after many whose declarations were `factor` times
-/// the run and off by up to `noise` times either way.
-fn learned(factor: f64, noise: f64) -> Duration {
+/// The estimate for a task that declares 100 ms, after 3,000 tasks that declared `factor` times
+/// their run time, with random errors of up to `noise` times in either direction.
+fn estimate_after_declarations(factor: f64, noise: f64) -> Duration {
     let mut rng = StdRng::seed_from_u64(11);
     let mut estimate = RunEstimate::default();
     for _ in 0..3_000 {
-        let run = Duration::from_secs_f64(0.05 * 20f64.powf(rng.random()));
-        let off = noise.powf(rng.random::<f64>() * 2.0 - 1.0);
-        estimate.record_declared(run.mul_f64(factor * off), run);
+        let run_time = Duration::from_secs_f64(0.05 * 20f64.powf(rng.random()));
+        let error = noise.powf(rng.random::<f64>() * 2.0 - 1.0);
+        estimate.record_declared(run_time.mul_f64(factor * error), run_time);
     }
     estimate.reading(Some(Duration::from_millis(100))).mean
 }
 
 #[test]
-fn declared_run_times_weigh_by_their_worth() {
-    // Declared exactly, ten times too high and a tenth: corrected.
+fn declared_run_times_are_weighted_by_their_accuracy() {
+    // Exact, ten times too high and ten times too low: a constant factor is corrected.
     for (factor, expected_ms) in [(1.0, 100), (10.0, 10), (0.1, 1_000)] {
-        let ms = learned(factor, 1.0).as_millis();
+        let ms = estimate_after_declarations(factor, 1.0).as_millis();
         assert!(
             ms.abs_diff(expected_ms) <= expected_ms / 5,
             "{factor}: {ms}"
         );
     }
-    // Declared at random: the measured mean of 317 ms is what remains.
-    let ms = learned(1.0, 1_000.0).as_millis();
+    // Random declarations carry no information: the estimate is the measured mean, 317 ms.
+    let ms = estimate_after_declarations(1.0, 1_000.0).as_millis();
     assert!((200..=400).contains(&ms), "{ms}");
 }
 
 #[test]
-fn retries_are_a_share_of_first_attempts() {
-    for (percent, first_attempts, most) in [(0, 1_000, 0), (10, 1_000, 110), (10, 0, 10)] {
+fn retries_are_limited_to_a_percentage_of_first_attempts() {
+    for (percent, first_attempts, expected_retries) in
+        [(0, 1_000, 0), (10, 1_000, 110), (10, 0, 10)]
+    {
         let mut budget = RetryBudget::new(percent);
         let mut retries = u32::from(first_attempts == 0 && budget.try_retry());
         for _ in 0..first_attempts {
@@ -234,7 +236,7 @@
         while budget.try_retry() {
             retries += 1;
         }
-        assert!(retries <= most, "{percent}: {retries}");
-        assert!(retries + 1 >= most, "{percent}: {retries}");
+        assert!(retries <= expected_retries, "{percent}: {retries}");
+        assert!(retries + 1 >= expected_retries, "{percent}: {retries}");
     }
 }
--- a/lib/tests/upstream_choice.rs
+++ b/lib/tests/upstream_choice.rs
@@ -1,4 +1,4 @@
-//! The choice among upstreams.
+//! Which upstream each choice policy picks.
 
 use almondhead_lib::choice::Candidate;
 use almondhead_lib::choice::choice_for;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn nothing_is_chosen_from_nothing() {
+fn no_candidate_gives_none_and_one_is_always_chosen() {
     for policy in POLICIES {
         assert_eq!(choice_for(policy, 9).choose(&[]), None, "{policy:?}");
         assert_eq!(counts(policy, &[(3, 8, 0)]), [1_000], "{policy:?}");
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn least_loaded_goes_by_slots_and_latency() {
+fn least_loaded_compares_load_per_slot_then_latency() {
     let cases: [(&[Load], &[u32]); 4] = [
         (&[(2, 8, 9), (1, 8, 9), (3, 8, 9)], &[0, 1_000, 0]),
         (&[(2, 8, 9), (3, 16, 9)], &[0, 1_000]),
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn power_of_two_spares_the_most_loaded() {
+fn power_of_two_never_chooses_the_most_loaded() {
     let counts = counts(ChoicePolicy::PowerOfTwo, &[(0, 8, 0), (1, 8, 0), (2, 8, 0)]);
     assert!(counts[0] > counts[1] && counts[1] > 250, "{counts:?}");
     assert_eq!(counts[2], 0);
