--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -1,4 +1,5 @@
-//! The job with the fewest remaining tasks, with fair shares for teams and ageing.
+//! The queue policy that serves the job with the fewest remaining tasks, with fair shares for teams
+//! and ageing.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -21,25 +22,25 @@
 use crate::team_queue::TeamQueue;
 use crate::time::Timestamp;
 
-/// The tasks by which a team's jobs are put back when it has had all recent service.
+/// The default of [`FairSettings::full_share_penalty_tasks`].
 pub const FULL_SHARE_PENALTY_TASKS: u32 = 4_000;
 
-/// Every how many starts the job that waits longest goes first.
+/// The default of [`FairSettings::oldest_interval_starts`].
 pub const OLDEST_INTERVAL_STARTS: u32 = 16;
 
-/// The time in which the memory of service falls to a factor of 1/e.
+/// The time constant of the exponential decay of recent service: it falls to 1/e in this time.
 const SERVICE_DECAY_TIME: Duration = Duration::from_secs(2);
 
-/// The time between two steps of that decay.
+/// The minimum time between two updates of that decay, which visit every team.
 const DECAY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How much a [`FairQueue`] gives up of one order for another.
+/// How strongly a [`FairQueue`] weighs fair shares and age against the order by remaining tasks.
 #[value]
 #[derive(Copy)]
 pub struct FairSettings {
-    /// The tasks by which a team's jobs are put back when it has had all recent service.
+    /// The number of tasks by which a team's jobs count as larger when it had all recent service.
     pub full_share_penalty_tasks: u32,
-    /// Every how many starts the job that waits longest goes first; zero for never.
+    /// One start in this many goes to the job that arrived first; zero disables it.
     pub oldest_interval_starts: u32,
 }
 
@@ -52,14 +53,14 @@
     }
 }
 
-/// Where a queued job is to be found.
+/// The team and arrival number of a queued job, by which it is found in its team's queue.
 #[derive(Clone, Copy, Debug)]
 struct QueuedJob {
     team: TeamKey,
     arrival: u64,
 }
 
-/// A team's first job that was not offered yet, by its sort_key among all teams' jobs.
+/// A team's first job that a scan has not offered yet, ordered by its penalised sort key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TeamHead {
     penalised: OrderedJob,
@@ -67,15 +68,15 @@
     team: TeamKey,
 }
 
-/// Serves the job with the fewest remaining tasks, put back by what its team was served of late.
+/// Serves the job with the fewest remaining tasks, with a penalty for its team's recent service.
 ///
-/// A job counts as larger than it is by the square of its team's share of the recent service, each
-/// share divided by the team's weight. Only service to jobs of this size and smaller ones is
-/// counted, so a team's large jobs do not hold up its small ones, and a team that floods with
-/// small jobs falls behind the others' large ones.
+/// A job is ranked by its remaining tasks plus a penalty, which is proportional to the square of
+/// its team's share of the recent service; each share is divided by the team's weight. Only service
+/// to jobs of the same size and smaller is counted: a team's large jobs do not delay its small ones,
+/// and a team that floods the queue with small jobs ranks behind other teams' large jobs.
 ///
-/// One start in [`FairSettings::oldest_interval_starts`] goes to the job that arrived first, so no job
-/// starves, and the rest of the starts are not slowed down by jobs that wait long.
+/// One start in [`FairSettings::oldest_interval_starts`] goes to the job that arrived first, so
+/// that no job starves; how long a job has waited has no effect on the other starts.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     settings: FairSettings,
@@ -90,7 +91,7 @@
 }
 
 impl FairQueue {
-    /// An empty queue with these settings.
+    /// Creates an empty queue with these settings.
     pub fn new(settings: FairSettings) -> Self {
         FairQueue {
             settings,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Lets the memory of service fade up to `now`.
+    /// Applies the exponential decay of recent service up to `now`.
     fn decay(&mut self, now: Timestamp) {
         let elapsed = now.since(self.decayed_at);
         if elapsed < DECAY_INTERVAL {
@@ -113,13 +114,13 @@
         self.decayed_at = now;
     }
 
-    /// The mean weight of the teams seen, by which the weights' scale cancels out.
+    /// The mean weight of all teams seen so far; division by it cancels the scale of the weights.
     fn mean_weight(&self) -> f64 {
         let total: f64 = self.teams.values().map(|team| f64::from(team.weight)).sum();
         total / self.teams.len().max(1) as f64
     }
 
-    /// The sort_key of a team's job among the jobs of all teams.
+    /// The job with the penalty for its team's recent service added to its rank.
     fn penalised(&self, team: &TeamQueue, ordered: OrderedJob) -> OrderedJob {
         let class = SizeClass::of(ordered.sort_key.rank);
         let share = team.recent_service.up_to_us(class) / self.weighted_service_us.max(1.0);
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The job that arrived first, when this start is one for it.
+    /// The job that arrived first, if the next start is due to it.
     fn oldest_if_due(&self) -> Option<JobKey> {
         if self.starts == 0
             || !self
@@ -147,7 +148,7 @@
         Some(oldest.job)
     }
 
-    /// The first job in order, apart from turns of the oldest.
+    /// The job with the lowest penalised sort key; ignores starts due to the oldest job.
     fn first(&self) -> Option<JobKey> {
         self.teams
             .values()
@@ -183,7 +184,7 @@
         }
     }
 
-    /// The first job that `fits`, whoever's turn it is.
+    /// The job to start next: the oldest if due, otherwise the first in order that `fits`.
     fn first_fitting(&self, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
         if let Some(oldest) = self.oldest_if_due()
             && fits(oldest)
@@ -252,24 +253,25 @@
     fn charge(&mut self, team: TeamKey, weight: u32, cost: Duration) {
         let relative_weight = f64::from(weight.max(1)) / self.mean_weight().max(1.0);
         let cost_us = cost.as_secs_f64() * 1e6;
-        let share_us = cost_us / relative_weight;
+        let weighted_cost_us = cost_us / relative_weight;
         let Some(team) = self.teams.get_mut(team) else {
             return;
         };
-        team.charge(share_us);
+        team.charge(weighted_cost_us);
         let class = team.last_started_class;
-        self.weighted_service_us += share_us;
+        self.weighted_service_us += weighted_cost_us;
         self.recent_service.add(class, cost_us);
     }
 
-    /// Jobs of its size class and smaller ones go before a new job.
+    /// Assumes that jobs of the new job's size class and smaller ones start before it.
     fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog {
         self.decay(now);
         let class = SizeClass::of(u64::from(tasks));
-        let taken = self.recent_service.up_to_us(class) / 1e6 / SERVICE_DECAY_TIME.as_secs_f64();
+        let overtaking_slots =
+            self.recent_service.up_to_us(class) / 1e6 / SERVICE_DECAY_TIME.as_secs_f64();
         QueueBacklog {
             tasks_ahead: self.remaining_tasks.up_to(class),
-            overtaking_slots: taken as u32,
+            overtaking_slots: overtaking_slots as u32,
         }
     }
 
--- a/lib/src/ordered_jobs.rs
+++ b/lib/src/ordered_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs in the order of their sort_keys.
+//! A set of jobs ordered by their sort keys.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -8,21 +8,21 @@
 
 use crate::keys::JobKey;
 
-/// The sort_key of a job: lower ranks first, then lower arrival numbers.
+/// The sort key of a job: lower ranks come first, then lower arrival numbers.
 #[key]
 pub(crate) struct SortKey {
     pub(crate) rank: u64,
     pub(crate) arrival: u64,
 }
 
-/// A job and its sort_key.
+/// A job and its sort key.
 #[key]
 pub(crate) struct OrderedJob {
     pub(crate) sort_key: SortKey,
     pub(crate) job: JobKey,
 }
 
-/// A set of jobs in order of their sort_keys, with logarithmic operations.
+/// A set of jobs ordered by their sort keys, with operations in logarithmic time.
 #[derive(Debug, Default)]
 pub(crate) struct OrderedJobs {
     order: BTreeSet<OrderedJob>,
@@ -30,14 +30,14 @@
 }
 
 impl OrderedJobs {
-    /// Adds a job, or moves one already held.
+    /// Adds a job, or changes the sort key of one already in the set.
     pub(crate) fn insert(&mut self, job: JobKey, sort_key: SortKey) {
         self.remove(job);
         self.sort_keys.insert(job, sort_key);
         self.order.insert(OrderedJob { sort_key, job });
     }
 
-    /// Takes a job out.
+    /// Removes a job; ignores one that is not in the set.
     pub(crate) fn remove(&mut self, job: JobKey) {
         if let Some(sort_key) = self.sort_keys.remove(job) {
             self.order.remove(&OrderedJob { sort_key, job });
@@ -49,7 +49,7 @@
         self.order.first().copied()
     }
 
-    /// The job that comes after `ordered`.
+    /// The first job after `ordered`, which need not be in the set.
     pub(crate) fn after(&self, ordered: OrderedJob) -> Option<OrderedJob> {
         let rest = (Bound::Excluded(ordered), Bound::Unbounded);
         self.order.range(rest).next().copied()
@@ -60,12 +60,12 @@
         self.order.iter().copied()
     }
 
-    /// The sort_key of a job.
+    /// The sort key of a job in the set.
     pub(crate) fn sort_key(&self, job: JobKey) -> Option<SortKey> {
         self.sort_keys.get(job).copied()
     }
 
-    /// How many jobs are held.
+    /// The number of jobs in the set.
     pub(crate) fn len(&self) -> usize {
         self.order.len()
     }
--- a/lib/src/ordered_queue.rs
+++ b/lib/src/ordered_queue.rs
@@ -1,4 +1,4 @@
-//! Jobs in one fixed order, whatever their team and size.
+//! The queue policies that order jobs by arrival or deadline, regardless of team and size.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use crate::size_class::SizeClass;
 use crate::time::Timestamp;
 
-/// What a job's sort_key in the order is.
+/// What jobs are ordered by.
 #[derive(Clone, Copy, Debug)]
 enum Order {
     Arrival,
     Deadline,
 }
 
-/// Serves jobs in order of arrival or of their deadlines.
+/// Serves jobs in order of their arrival or of their deadlines.
 #[derive(Debug)]
 pub struct OrderedQueue {
     order: Order,
@@ -31,12 +31,12 @@
 }
 
 impl OrderedQueue {
-    /// A queue in order of arrival.
+    /// Creates an empty queue in order of arrival.
     pub fn fifo() -> Self {
         Self::new(Order::Arrival)
     }
 
-    /// A queue by the earliest deadline, equal deadlines in order of arrival.
+    /// Creates an empty queue by earliest deadline; equal deadlines are in order of arrival.
     pub fn earliest_deadline() -> Self {
         Self::new(Order::Deadline)
     }
--- a/lib/src/queue.rs
+++ b/lib/src/queue.rs
@@ -1,4 +1,4 @@
-//! The order in which queued jobs start their tasks, as a policy.
+//! The queue policy: the order in which queued jobs start their tasks.
 
 use std::fmt::Debug;
 use std::time::Duration;
@@ -12,66 +12,67 @@
 use crate::policies::QueuePolicy;
 use crate::time::Timestamp;
 
-/// The most jobs that one call of [`JobQueue::next`] offers to `fits`.
+/// The maximum number of jobs that one call of [`JobQueue::next`] passes to `fits`.
 pub const SCAN_LIMIT: usize = 32;
 
-/// A job with tasks that have not started.
+/// A job with tasks that have not started, as it is inserted into a queue.
 #[value]
 #[derive(Copy)]
 pub struct QueueEntry {
-    /// The job.
+    /// The key of the job.
     pub job: JobKey,
-    /// Its team.
+    /// The team that submitted it.
     pub team: TeamKey,
-    /// The team's share, relative to the other teams' weights.
+    /// The team's weight; its share of the service is relative to the other teams' weights.
     pub weight: u32,
-    /// The tasks of the job that have not ended, running ones included.
+    /// The number of the job's tasks that have not ended, including running ones.
     pub remaining: u32,
-    /// When the job is over, whatever has run.
+    /// When the job ends, even if some of its tasks have not.
     pub deadline: Timestamp,
 }
 
-/// What a new job finds before it in the queue.
+/// The work that a new job competes with in the queue.
 #[value]
 #[derive(Copy)]
 pub struct QueueBacklog {
-    /// The remaining tasks of queued jobs that go before it.
+    /// The remaining tasks of queued jobs that start before the new job.
     pub tasks_ahead: u32,
-    /// The slots that jobs which pass it were served of late, queued ones and later arrivals.
+    /// The mean number of slots recently used by jobs that start before the new job, even when they
+    /// arrive after it.
     pub overtaking_slots: u32,
 }
 
-/// Orders the jobs that hold tasks to start.
+/// Orders the jobs that have tasks to start.
 ///
-/// A job is inserted when it is admitted, and removed with the start of its last task.
+/// A job is inserted when it is admitted, and removed when its last task starts.
 pub trait JobQueue: Send + Debug {
-    /// Adds a job that arrived at `now`; a job already queued is replaced.
+    /// Adds a job that arrives at `now`; replaces the entry of a job that is already queued.
     fn insert(&mut self, now: Timestamp, entry: QueueEntry);
 
-    /// Sets the tasks of a queued job that have not ended; an unknown job is ignored.
+    /// Sets the number of a queued job's tasks that have not ended; ignores an unknown job.
     fn update(&mut self, job: JobKey, remaining: u32);
 
-    /// Takes a job out; an unknown job is ignored.
+    /// Removes a job; ignores an unknown job.
     fn remove(&mut self, job: JobKey);
 
-    /// The first job in order that `fits`, without taking it out.
+    /// Returns the first job in order for which `fits` returns true; the job stays in the queue.
     ///
-    /// After [`SCAN_LIMIT`] jobs that do not fit, the answer is none.
+    /// Returns `None` after [`SCAN_LIMIT`] jobs that do not fit.
     fn next(&mut self, now: Timestamp, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey>;
 
-    /// Counts `cost`, the estimated run time of a task that starts, against its team's share.
+    /// Charges `cost`, the estimated run time of a task that starts, to its team's share.
     ///
-    /// To be called with each start, after [`Self::next`] gave the task's job.
+    /// Must be called for each start, after [`Self::next`] returned the task's job.
     fn charge(&mut self, team: TeamKey, weight: u32, cost: Duration);
 
-    /// What a new job of `tasks` tasks finds before it, for its admission.
+    /// The backlog for a new job of `tasks` tasks, which its admission is based on.
     fn backlog(&mut self, now: Timestamp, tasks: u32) -> QueueBacklog;
 
-    /// How many jobs are queued.
+    /// The number of queued jobs.
     fn job_count(&self) -> usize;
 }
 
-/// The queue that the document asks for.
+/// An empty queue with the policy that the document selects.
 pub fn queue_for(policy: QueuePolicy) -> Box<dyn JobQueue> {
     match policy {
         QueuePolicy::FairFewestRemaining => Box::new(FairQueue::default()),
--- a/lib/src/remaining_tasks.rs
+++ b/lib/src/remaining_tasks.rs
@@ -1,4 +1,4 @@
-//! How many tasks are queued, by the size of their jobs.
+//! The remaining tasks of queued jobs, by the size of the jobs.
 
 use slotmap::SecondaryMap;
 
@@ -14,26 +14,26 @@
 }
 
 impl RemainingTasks {
-    /// Adds a job, or sets the remaining tasks of one already held.
+    /// Adds a job, or sets the remaining tasks of one already added.
     pub(crate) fn set(&mut self, job: JobKey, remaining: u32) {
         self.remove(job);
         self.remaining.insert(job, remaining);
         *self.class_total(remaining) += u64::from(remaining);
     }
 
-    /// Takes a job out.
+    /// Removes a job; ignores an unknown job.
     pub(crate) fn remove(&mut self, job: JobKey) {
         if let Some(remaining) = self.remaining.remove(job) {
             *self.class_total(remaining) -= u64::from(remaining);
         }
     }
 
-    /// Whether the job is held.
+    /// Whether the job was added and not removed.
     pub(crate) fn contains(&self, job: JobKey) -> bool {
         self.remaining.contains_key(job)
     }
 
-    /// The remaining tasks of jobs of `class` and smaller ones.
+    /// The sum of the remaining tasks of jobs of `class` and smaller ones.
     pub(crate) fn up_to(&self, class: SizeClass) -> u32 {
         let sum: u64 = self.by_class[..=class.index()].iter().sum();
         u32::try_from(sum).unwrap_or(u32::MAX)
--- a/lib/src/size_class.rs
+++ b/lib/src/size_class.rs
@@ -1,11 +1,11 @@
-//! Classes of jobs by size.
+//! Classes of jobs by their number of remaining tasks.
 
 use almondhead_macros::key;
 
-/// How many size classes there are; the last one holds all larger jobs.
+/// The number of size classes; the last one contains all jobs of 512 remaining tasks and more.
 pub(crate) const SIZE_CLASSES: usize = 10;
 
-/// Jobs whose remaining tasks lie between two powers of two.
+/// The class of jobs whose number of remaining tasks has the same binary logarithm, rounded down.
 #[key]
 #[derive(Default)]
 pub(crate) struct SizeClass(usize);
@@ -20,7 +20,7 @@
         SizeClass(power.min(SIZE_CLASSES - 1))
     }
 
-    /// Its place among the classes, from zero.
+    /// The index of the class, from zero for the smallest jobs.
     pub(crate) fn index(self) -> usize {
         self.0
     }
--- a/lib/src/team_queue.rs
+++ b/lib/src/team_queue.rs
@@ -1,4 +1,4 @@
-//! One team's part in a fair queue.
+//! The queued jobs of one team in a fair queue.
 
 use crate::keys::JobKey;
 use crate::ordered_jobs::OrderedJob;
@@ -7,7 +7,7 @@
 use crate::recent_service::RecentService;
 use crate::size_class::SizeClass;
 
-/// A team's queued jobs in two orders, and the service it had of late.
+/// A team's queued jobs in two orders, and the service that the team received recently.
 #[derive(Debug, Default)]
 pub(crate) struct TeamQueue {
     pub(crate) weight: u32,
@@ -20,7 +20,7 @@
 }
 
 impl TeamQueue {
-    /// Adds a job, whose rank is its remaining tasks.
+    /// Adds a job; the rank of its sort key is the number of its remaining tasks.
     pub(crate) fn insert(&mut self, job: JobKey, sort_key: SortKey) {
         let arrived = SortKey {
             rank: sort_key.arrival,
@@ -31,13 +31,13 @@
         self.update(job, sort_key);
     }
 
-    /// Moves a job in the order of remaining tasks.
+    /// Changes the sort key of a job in the order of remaining tasks.
     pub(crate) fn update(&mut self, job: JobKey, sort_key: SortKey) {
         self.by_remaining.insert(job, sort_key);
         self.fewest = self.by_remaining.first();
     }
 
-    /// Takes a job out.
+    /// Removes a job; ignores an unknown job.
     pub(crate) fn remove(&mut self, job: JobKey) {
         self.by_remaining.remove(job);
         self.by_arrival.remove(job);
@@ -45,14 +45,14 @@
         self.oldest = self.by_arrival.first();
     }
 
-    /// Notes that a task of `job` starts, whose cost is charged next.
+    /// Records that a task of `job` starts; the next call of [`Self::charge`] is for it.
     pub(crate) fn record_start(&mut self, job: JobKey) {
         if let Some(sort_key) = self.by_remaining.sort_key(job) {
             self.last_started_class = SizeClass::of(sort_key.rank);
         }
     }
 
-    /// Counts service to the job that started last.
+    /// Adds run time of the task that was last passed to [`Self::record_start`].
     pub(crate) fn charge(&mut self, served_us: f64) {
         self.recent_service.add(self.last_started_class, served_us);
     }
@@ -67,7 +67,7 @@
         self.oldest
     }
 
-    /// The job that comes after `ordered` in the order of remaining tasks.
+    /// The first job after `ordered` in the order of remaining tasks.
     pub(crate) fn after(&self, ordered: OrderedJob) -> Option<OrderedJob> {
         self.by_remaining.after(ordered)
     }
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -1,4 +1,4 @@
-//! The orders of the queue.
+//! The order of each queue policy, fair shares of teams, and the backlog for admission.
 
 use std::time::Duration;
 
@@ -51,11 +51,11 @@
     }
 }
 
-fn any(_: JobKey) -> bool {
+fn any_job(_: JobKey) -> bool {
     true
 }
 
-fn fewest_first() -> FairQueue {
+fn without_ageing() -> FairQueue {
     FairQueue::new(FairSettings {
         oldest_interval_starts: 0,
         ..FairSettings::default()
@@ -64,7 +64,8 @@
 
 #[test]
 fn each_policy_has_its_order() {
-    // Remaining tasks and deadline of three jobs in order of arrival, and which goes first.
+    // Remaining tasks and deadline of three jobs in order of arrival; each case has the index of
+    // the job that starts first.
     let jobs = [(5, 900), (1, 700), (3, 500)];
     let cases = [
         (QueuePolicy::FairFewestRemaining, 1),
@@ -79,23 +80,23 @@
         for (at_us, entry) in (0..).zip(entries) {
             queue.insert(Timestamp::from_us(at_us), entry);
         }
-        let first = queue.next(Timestamp::from_us(10), &mut any);
+        let first = queue.next(Timestamp::from_us(10), &mut any_job);
         assert_eq!(first, Some(entries[expected].job), "{policy:?}");
     }
 }
 
 #[test]
-fn update_moves_a_job() {
+fn update_reorders_a_job() {
     let mut keys = Keys::new();
     let team = keys.team();
     let large = keys.entry(team, 10, 1_000);
     let small = keys.entry(team, 5, 1_000);
-    let mut queue = fewest_first();
+    let mut queue = without_ageing();
     queue.insert(Timestamp::ZERO, large);
     queue.insert(Timestamp::ZERO, small);
-    assert_eq!(queue.next(Timestamp::ZERO, &mut any), Some(small.job));
+    assert_eq!(queue.next(Timestamp::ZERO, &mut any_job), Some(small.job));
     queue.update(large.job, 4);
-    assert_eq!(queue.next(Timestamp::ZERO, &mut any), Some(large.job));
+    assert_eq!(queue.next(Timestamp::ZERO, &mut any_job), Some(large.job));
 }
 
 #[test]
@@ -112,7 +113,11 @@
         queue.remove(entry.job);
         queue.update(entry.job, 1);
         assert_eq!(queue.job_count(), 0, "{policy:?}");
-        assert_eq!(queue.next(Timestamp::ZERO, &mut any), None, "{policy:?}");
+        assert_eq!(
+            queue.next(Timestamp::ZERO, &mut any_job),
+            None,
+            "{policy:?}"
+        );
     }
 }
 
@@ -139,7 +144,7 @@
 #[test]
 fn jobs_are_offered_in_order() {
     let mut keys = Keys::new();
-    let mut queue = fewest_first();
+    let mut queue = without_ageing();
     let mut expected = Vec::new();
     for number in 0..SCAN_LIMIT as u32 {
         let team = keys.team();
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn a_job_that_does_not_fit_is_passed() {
+fn a_job_that_does_not_fit_is_skipped() {
     for policy in POLICIES {
         let mut keys = Keys::new();
         let teams = [keys.team(), keys.team()];
@@ -173,37 +178,37 @@
     }
 }
 
-/// A team with an endless job, and the least starts it is due.
+/// A team with a job that never ends, and the minimum number of starts that it must get.
 #[derive(Debug)]
-struct Share {
+struct BusyTeam {
     weight: u32,
     remaining: u32,
-    least_starts: usize,
+    min_starts: usize,
 }
 
-const fn share(weight: u32, remaining: u32, least_starts: usize) -> Share {
-    Share {
+const fn busy_team(weight: u32, remaining: u32, min_starts: usize) -> BusyTeam {
+    BusyTeam {
         weight,
         remaining,
-        least_starts,
+        min_starts,
     }
 }
 
-fn starts_by_team(shares: &[Share], starts: usize) -> Vec<usize> {
+fn starts_by_team(teams: &[BusyTeam], starts: usize) -> Vec<usize> {
     let mut keys = Keys::new();
     let mut queue = FairQueue::default();
     let mut entries = Vec::new();
-    for share in shares {
+    for busy_team in teams {
         let team = keys.team();
-        let mut entry = keys.entry(team, share.remaining, 1_000_000);
-        entry.weight = share.weight;
+        let mut entry = keys.entry(team, busy_team.remaining, 1_000_000);
+        entry.weight = busy_team.weight;
         queue.insert(Timestamp::ZERO, entry);
         entries.push(entry);
     }
-    let mut counts = vec![0; shares.len()];
+    let mut counts = vec![0; teams.len()];
     for start in 0..starts {
         let now = Timestamp::from_us(start as u64 * 1_000);
-        let job = queue.next(now, &mut any).expect("jobs wait");
+        let job = queue.next(now, &mut any_job).expect("jobs wait");
         let index = entries.iter().position(|entry| entry.job == job);
         let index = index.expect("the job is one of ours");
         counts[index] += 1;
@@ -215,58 +220,66 @@
 
 #[test]
 fn teams_share_by_weight() {
-    let cases: [&[Share]; 4] = [
-        &[share(1, 3, 2_950), share(1, 3, 2_950)],
-        &[share(100, 9, 1_900), share(200, 9, 3_900)],
-        &[share(1, 1, 900), share(2, 1, 1_900), share(3, 1, 2_900)],
-        &[share(1, 1, 3_000), share(1, 480, 2_500)],
+    let cases: [&[BusyTeam]; 4] = [
+        &[busy_team(1, 3, 2_950), busy_team(1, 3, 2_950)],
+        &[busy_team(100, 9, 1_900), busy_team(200, 9, 3_900)],
+        &[
+            busy_team(1, 1, 900),
+            busy_team(2, 1, 1_900),
+            busy_team(3, 1, 2_900),
+        ],
+        &[busy_team(1, 1, 3_000), busy_team(1, 480, 2_500)],
     ];
-    for shares in cases {
-        let counts = starts_by_team(shares, 6_000);
-        for (count, share) in counts.iter().zip(shares) {
-            assert!(*count >= share.least_starts, "{shares:?}: {counts:?}");
+    for teams in cases {
+        let counts = starts_by_team(teams, 6_000);
+        for (count, busy_team) in counts.iter().zip(teams) {
+            assert!(*count >= busy_team.min_starts, "{teams:?}: {counts:?}");
         }
     }
 }
 
 #[test]
-fn large_jobs_do_not_hold_up_their_teams_small_ones() {
+fn large_jobs_do_not_delay_small_jobs_of_their_team() {
     let mut keys = Keys::new();
     let teams = [keys.team(), keys.team()];
-    let mut queue = fewest_first();
+    let mut queue = without_ageing();
     let large = keys.entry(teams[0], 480, 1_000_000);
     queue.insert(Timestamp::ZERO, large);
     for _ in 0..100 {
-        assert_eq!(queue.next(Timestamp::ZERO, &mut any), Some(large.job));
+        assert_eq!(queue.next(Timestamp::ZERO, &mut any_job), Some(large.job));
         queue.charge(teams[0], 1, Duration::from_millis(100));
     }
     let other = keys.entry(teams[1], 2, 1_000_000);
     let single = keys.entry(teams[0], 1, 1_000_000);
     queue.insert(Timestamp::ZERO, other);
     queue.insert(Timestamp::ZERO, single);
-    assert_eq!(queue.next(Timestamp::ZERO, &mut any), Some(single.job));
+    assert_eq!(queue.next(Timestamp::ZERO, &mut any_job), Some(single.job));
 }
 
 #[test]
-fn an_idle_team_saves_little_up() {
+fn an_idle_team_saves_up_little_share() {
     let mut keys = Keys::new();
     let teams = [keys.team(), keys.team()];
-    let mut queue = fewest_first();
+    let mut queue = without_ageing();
     let busy = keys.entry(teams[0], 1, 1_000);
-    let back = keys.entry(teams[1], 1, 1_000);
+    let returning = keys.entry(teams[1], 1, 1_000);
     queue.insert(Timestamp::ZERO, busy);
-    let mut starts_of_back = 0;
+    let mut returning_starts = 0;
     for start in 0..1_100 {
         if start == 1_000 {
-            queue.insert(Timestamp::ZERO, back);
+            queue.insert(Timestamp::ZERO, returning);
         }
         let now = Timestamp::from_us(start * 100_000);
-        let job = queue.next(now, &mut any);
-        let is_back = job == Some(back.job);
-        starts_of_back += usize::from(is_back);
-        queue.charge(teams[usize::from(is_back)], 1, Duration::from_millis(100));
+        let job = queue.next(now, &mut any_job);
+        let is_returning = job == Some(returning.job);
+        returning_starts += usize::from(is_returning);
+        queue.charge(
+            teams[usize::from(is_returning)],
+            1,
+            Duration::from_millis(100),
+        );
     }
-    assert!((45..=65).contains(&starts_of_back), "{starts_of_back}");
+    assert!((45..=65).contains(&returning_starts), "{returning_starts}");
 }
 
 #[test]
@@ -281,7 +294,9 @@
     while left > 0 {
         let single = keys.entry(team, 1, 1_000_000);
         queue.insert(Timestamp::ZERO, single);
-        let job = queue.next(Timestamp::ZERO, &mut any).expect("jobs wait");
+        let job = queue
+            .next(Timestamp::ZERO, &mut any_job)
+            .expect("jobs wait");
         starts += 1;
         if job == large.job {
             left -= 1;
@@ -294,7 +309,7 @@
 }
 
 #[test]
-fn random_use_keeps_count() {
+fn random_operations_keep_the_job_count() {
     let mut rng = StdRng::seed_from_u64(7);
     for policy in POLICIES {
         let mut keys = Keys::new();
@@ -315,7 +330,7 @@
                     queue.update(entry.job, rng.random_range(1..480));
                 }
                 _ => {
-                    let found = queue.next(now, &mut any);
+                    let found = queue.next(now, &mut any_job);
                     assert_eq!(found.is_some(), !held.is_empty(), "{policy:?}");
                     let Some(job) = found else { continue };
                     let index = held.iter().position(|entry| entry.job == job);
@@ -330,8 +345,8 @@
 }
 
 #[test]
-fn backlog_counts_what_goes_before() {
-    // Tasks ahead of a job of 10 tasks, behind one of each size.
+fn backlog_counts_tasks_ahead() {
+    // The tasks ahead of a job of 10 tasks while jobs of 1, 9 and 480 tasks are queued.
     let cases = [
         (QueuePolicy::FairFewestRemaining, 1 + 9),
         (QueuePolicy::Fifo, 1 + 9 + 480),
@@ -356,15 +371,15 @@
 }
 
 #[test]
-fn backlog_shows_slots_that_smaller_jobs_take() {
+fn backlog_shows_slots_used_by_overtaking_jobs() {
     let mut keys = Keys::new();
     let team = keys.team();
-    let mut queue = fewest_first();
+    let mut queue = without_ageing();
     let single = keys.entry(team, 1, 1_000);
     queue.insert(Timestamp::ZERO, single);
-    // A start every 10 ms that runs for 100 ms keeps ten slots busy.
+    // Tasks of 100 ms that start every 10 ms keep ten slots busy.
     for step in 0..2_000 {
-        queue.next(Timestamp::from_us(step * 10_000), &mut any);
+        queue.next(Timestamp::from_us(step * 10_000), &mut any_job);
         queue.charge(team, 1, Duration::from_millis(100));
     }
     let now = Timestamp::from_us(20_000_000);
