--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -167,7 +167,7 @@
             if state.settings != *team {
                 state
                     .quota
-                    .set_bounds(team.max_open_tasks, team.max_tasks_per_second);
+                    .set_limits(team.max_open_tasks, team.max_tasks_per_second);
                 state.settings = team.clone();
             }
         }
--- a/lib/src/policies.rs
+++ b/lib/src/policies.rs
@@ -1,4 +1,4 @@
-//! The policies by which entry instances decide, as the document sets them.
+//! The document's `policies`: settings for how entry instances place, order and admit work.
 
 use almondhead_macros::document;
 
--- a/lib/src/retry_budget.rs
+++ b/lib/src/retry_budget.rs
@@ -1,37 +1,37 @@
-//! The bound on retries of one service.
+//! The limit on retries of one service.
 
-/// A token bucket that first attempts fill and retries empty.
+/// A token bucket that each first attempt adds to and each retry takes from.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     percent: u32,
     tokens: u32,
 }
 
-/// What one retry takes out of the bucket.
-const RETRY_TOKENS: u32 = 100;
+/// The number of tokens that one retry takes.
+const TOKENS_PER_RETRY: u32 = 100;
 
-/// The retries that a full bucket allows.
+/// The number of retries that a full bucket allows.
 const BURST_RETRIES: u32 = 10;
 
 impl RetryBudget {
-    /// A full bucket that allows `percent` retries per hundred first attempts; zero allows none.
+    /// Creates a full bucket for `percent` retries per 100 first attempts; zero allows no retries.
     pub fn new(percent: u32) -> Self {
         let tokens = match percent {
             0 => 0,
-            _ => RETRY_TOKENS * BURST_RETRIES,
+            _ => TOKENS_PER_RETRY * BURST_RETRIES,
         };
         RetryBudget { percent, tokens }
     }
 
-    /// Counts the first attempt at a task.
+    /// Adds the tokens for the first attempt at a task.
     pub fn on_first_attempt(&mut self) {
         let filled = self.tokens.saturating_add(self.percent);
-        self.tokens = filled.min(RETRY_TOKENS * BURST_RETRIES);
+        self.tokens = filled.min(TOKENS_PER_RETRY * BURST_RETRIES);
     }
 
-    /// Whether one more retry may start; if so, it is counted.
+    /// Takes the tokens for one retry; returns whether there were enough.
     pub fn try_retry(&mut self) -> bool {
-        let Some(left) = self.tokens.checked_sub(RETRY_TOKENS) else {
+        let Some(left) = self.tokens.checked_sub(TOKENS_PER_RETRY) else {
             return false;
         };
         self.tokens = left;
