--- a/lib/src/check.rs
+++ b/lib/src/check.rs
@@ -1,4 +1,4 @@
-//! The checker of documents: every fault at once, each with its path, line and reason.
+//! The document checker, which reports all problems at once, each with its path, line and reason.
 
 use std::fmt;
 
@@ -18,15 +18,15 @@
 use crate::document_limits::MAX_DOCUMENT_BYTES;
 use crate::document_limits::MAX_SEPARATORS;
 
-/// One fault of a document.
+/// One problem in a document.
 #[message]
 #[derive(Eq)]
 pub struct Problem {
-    /// The JSON pointer of the faulty value, `/upstreams/3/slots`; empty for the whole document.
+    /// The JSON pointer of the value, such as `/upstreams/3/slots`; empty for the whole document.
     pub path: String,
-    /// The line of the text on which the value starts, counted from one.
+    /// The line on which the value starts, counted from one.
     pub line: usize,
-    /// What is wrong, and what would be right.
+    /// What is wrong with the value, and what would be valid.
     pub reason: String,
 }
 
@@ -42,14 +42,14 @@
 
 /// Parses and checks the text of a document, which is JSON with comments and trailing commas.
 ///
-/// The shape is checked against the JSON Schema of [`crate::schema`]; names, references and
-/// values that depend on each other are checked also where the shape has faults elsewhere.
+/// The structure is checked against the JSON Schema of [`crate::schema`]. Names, references and
+/// values that depend on each other are checked even if the structure has problems elsewhere.
 ///
 /// # Errors
 ///
-/// Every fault found, in the order of the text; never an empty list. A syntax error ends the
-/// reading, so it is reported alone. No more than
-/// [`MAX_PROBLEMS`](crate::document_limits::MAX_PROBLEMS) are listed.
+/// All problems in the order of the text; never an empty list. A syntax error stops the parser, so
+/// it is reported alone. At most [`MAX_PROBLEMS`](crate::document_limits::MAX_PROBLEMS) are listed,
+/// followed by one that counts the rest.
 pub fn check_document(text: &str) -> Result<Document, Vec<Problem>> {
     let mut report = Report::new(text);
     let Some(tree) = parse_tree(text, &mut report) else {
@@ -88,7 +88,7 @@
     }
 }
 
-/// The tree of a text within the bounds; none where it has a syntax error.
+/// Parses a text; returns `None` if it exceeds the size limits, is empty or has a syntax error.
 pub(crate) fn parse_value(text: &str) -> Option<Value<'_>> {
     check_size(text).ok()?;
     let parsed = parse_to_ast(text, &CollectOptions::default(), &strict_options());
@@ -111,7 +111,7 @@
     Ok(())
 }
 
-/// JSON with comments and trailing commas, and no other laxity.
+/// The parser options for JSON with comments and trailing commas, without any other extension.
 pub(crate) fn strict_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
--- a/lib/src/check_cursor.rs
+++ b/lib/src/check_cursor.rs
@@ -1,4 +1,4 @@
-//! A value of the parsed text together with its path.
+//! A position in the syntax tree of a document, with its JSON pointer.
 
 use jsonc_parser::ast::Array;
 use jsonc_parser::ast::ObjectProp;
@@ -7,17 +7,17 @@
 
 use crate::document_diff::escape_pointer;
 
-/// A value of the parsed text and its JSON pointer.
+/// A value in the syntax tree of a document and its JSON pointer.
 #[derive(Clone)]
 pub(crate) struct Cursor<'t> {
     /// The value.
     pub(crate) value: &'t Value<'t>,
-    /// The JSON pointer from the root.
+    /// The JSON pointer of the value from the root.
     pub(crate) path: String,
 }
 
 impl<'t> Cursor<'t> {
-    /// The cursor at the root of a document.
+    /// Creates the cursor at the root of a document.
     pub(crate) fn root(value: &'t Value<'t>) -> Self {
         Cursor {
             value,
@@ -30,7 +30,7 @@
         self.value.range().start
     }
 
-    /// The value of a property of this object, the first one when it is given twice.
+    /// The property `name` of this object, the first one if it is given twice.
     pub(crate) fn field(&self, name: &str) -> Option<Cursor<'t>> {
         let object = self.value.as_object()?;
         let property = object
@@ -40,7 +40,7 @@
         Some(self.property(property))
     }
 
-    /// The cursor at one property of this object.
+    /// The cursor at a property of this object.
     pub(crate) fn property(&self, property: &'t ObjectProp<'t>) -> Cursor<'t> {
         Cursor {
             value: &property.value,
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The JSON pointer of a property of this object.
+    /// The JSON pointer of the property `name` of this object.
     pub(crate) fn path_to(&self, name: &str) -> String {
         format!("{}/{}", self.path, escape_pointer(name))
     }
 
-    /// The value at a JSON pointer from this one.
+    /// The value at a JSON pointer relative to this one; `None` if there is none.
     pub(crate) fn at(&self, pointer: &str) -> Option<Cursor<'t>> {
         let mut cursor = self.clone();
         for part in pointer.split('/').skip(1) {
@@ -68,7 +68,7 @@
         Some(cursor)
     }
 
-    /// The elements of a list that is a property of this object; none when it is no list.
+    /// The elements of the list in the property `name`; empty if that is missing or not a list.
     pub(crate) fn items(&self, name: &str) -> Vec<Cursor<'t>> {
         let Some(list) = self.field(name) else {
             return Vec::new();
@@ -79,7 +79,7 @@
         list.elements(array)
     }
 
-    /// The cursors at the elements of this list.
+    /// The cursors at the elements of `array`, which must be the value of this cursor.
     pub(crate) fn elements(&self, array: &'t Array<'t>) -> Vec<Cursor<'t>> {
         let elements = array.elements.iter().enumerate();
         elements
@@ -90,13 +90,13 @@
             .collect()
     }
 
-    /// The string that this value is.
+    /// The string; `None` if the value is not a string.
     pub(crate) fn text(&self) -> Option<&'t str> {
         let literal = self.value.as_string_lit()?;
         Some(literal.value.as_ref())
     }
 
-    /// The whole number that this value is.
+    /// The integer; `None` if the value is not an integer.
     pub(crate) fn number(&self) -> Option<i128> {
         let literal = self.value.as_number_lit()?;
         literal.value.parse().ok()
--- a/lib/src/check_names.rs
+++ b/lib/src/check_names.rs
@@ -1,4 +1,4 @@
-//! The check of names: unique in their list, well formed, and known where they are referred to.
+//! The check of names: unique in their list, well formed, and defined where they are referenced.
 
 use indexmap::IndexMap;
 use indexmap::IndexSet;
@@ -7,7 +7,7 @@
 use crate::check_report::Report;
 use crate::check_report::quoted;
 
-/// The lists whose elements have unique names.
+/// The lists whose elements have a unique `name`.
 const NAMED_LISTS: [&str; 5] = [
     "data_centres",
     "instances",
@@ -16,7 +16,7 @@
     "teams",
 ];
 
-/// A field that names an element of another list.
+/// A field whose value is the name of an element of another list.
 struct Reference {
     list: &'static str,
     field: &'static str,
@@ -45,7 +45,7 @@
     },
 ];
 
-/// Reports names given twice, malformed names and references to names that do not exist.
+/// Reports duplicate names, malformed names, undefined references and services without upstreams.
 pub(crate) fn check_names(root: &Cursor<'_>, report: &mut Report) {
     for list in NAMED_LISTS {
         check_unique(&root.items(list), "name", report);
@@ -54,7 +54,7 @@
         check_reference(root, reference, report);
     }
     check_distances(root, report);
-    check_services_served(root, report);
+    check_services_have_upstreams(root, report);
 }
 
 fn check_unique(items: &[Cursor<'_>], field: &str, report: &mut Report) {
@@ -63,7 +63,7 @@
         let Some(name) = cursor.text() else {
             continue;
         };
-        check_characters(&cursor, name, report);
+        check_name_characters(&cursor, name, report);
         let line = report.line_of(cursor.offset());
         if let Some(first_line) = first_lines.get(name) {
             let found = quoted(name);
@@ -75,20 +75,20 @@
     }
 }
 
-fn check_characters(cursor: &Cursor<'_>, name: &str, report: &mut Report) {
+fn check_name_characters(cursor: &Cursor<'_>, name: &str, report: &mut Report) {
     if name.trim() != name || name.chars().any(char::is_control) {
         let found = quoted(name);
         let reason =
-            format!("{found} must not begin or end with a space or hold control characters");
+            format!("{found} must not begin or end with a space or contain control characters");
         report.add(cursor.offset(), cursor.path.clone(), reason);
     }
 }
 
 fn check_reference(root: &Cursor<'_>, reference: &Reference, report: &mut Report) {
-    let known = names_of(root, reference.target_list);
+    let defined = names_of(root, reference.target_list);
     for item in root.items(reference.list) {
         if let Some(cursor) = item.field(reference.field) {
-            check_known(cursor, &known, reference.target_kind, report);
+            check_defined(cursor, &defined, reference.target_kind, report);
         }
     }
 }
@@ -99,8 +99,8 @@
     names.filter_map(|name| name.text()).collect()
 }
 
-fn check_known(cursor: Cursor<'_>, known: &IndexSet<&str>, kind: &str, report: &mut Report) {
-    let Some(name) = cursor.text().filter(|name| !known.contains(name)) else {
+fn check_defined(cursor: Cursor<'_>, defined: &IndexSet<&str>, kind: &str, report: &mut Report) {
+    let Some(name) = cursor.text().filter(|name| !defined.contains(name)) else {
         return;
     };
     let reason = format!("there is no {kind} {}", quoted(name));
@@ -108,25 +108,25 @@
 }
 
 fn check_distances(root: &Cursor<'_>, report: &mut Report) {
-    let known = names_of(root, "data_centres");
+    let defined = names_of(root, "data_centres");
     for data_centre in root.items("data_centres") {
         let distances = data_centre.items("distances");
         check_unique(&distances, "to", report);
         let name = data_centre.field("name").and_then(|name| name.text());
         for to in distances.iter().filter_map(|distance| distance.field("to")) {
             if to.text().is_some() && to.text() == name {
-                let reason = "is a distance of the data centre to itself".to_owned();
+                let reason = "is the distance of a data centre to itself".to_owned();
                 report.add(to.offset(), to.path, reason);
                 continue;
             }
-            check_known(to, &known, "data centre", report);
+            check_defined(to, &defined, "data centre", report);
         }
     }
 }
 
-fn check_services_served(root: &Cursor<'_>, report: &mut Report) {
+fn check_services_have_upstreams(root: &Cursor<'_>, report: &mut Report) {
     let upstreams = root.items("upstreams");
-    let served: IndexSet<&str> = upstreams
+    let services_with_upstreams: IndexSet<&str> = upstreams
         .iter()
         .filter_map(|upstream| upstream.field("service"))
         .filter_map(|service| service.text())
@@ -135,7 +135,10 @@
         let Some(name) = service.field("name") else {
             continue;
         };
-        if name.text().is_some_and(|name| !served.contains(name)) {
+        if name
+            .text()
+            .is_some_and(|name| !services_with_upstreams.contains(name))
+        {
             let reason = "no upstream runs this service".to_owned();
             report.add(service.offset(), service.path, reason);
         }
--- a/lib/src/check_report.rs
+++ b/lib/src/check_report.rs
@@ -1,64 +1,68 @@
-//! The collector of problems during one check.
+//! The collection of the problems that one check finds.
 
 use crate::check::Problem;
 use crate::document_limits::MAX_PROBLEMS;
 
-/// The most characters of a document's text that a reason quotes.
+/// The maximum number of characters of a document's text that a reason quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// The problems found so far, with what is needed to turn offsets into lines.
+/// The problems found so far, and the line starts of the text that turn offsets into lines.
 pub(crate) struct Report {
     line_starts: Vec<usize>,
-    found: Vec<Found>,
+    problems: Vec<LocatedProblem>,
     omitted_count: usize,
 }
 
-struct Found {
+/// A problem and the byte offset of its value, by which problems are sorted.
+struct LocatedProblem {
     offset: usize,
     problem: Problem,
 }
 
 impl Report {
-    /// An empty report on a text.
+    /// Creates an empty report on a text.
     pub(crate) fn new(text: &str) -> Self {
-        let breaks = text.bytes().enumerate();
-        let line_starts = breaks
+        let bytes = text.bytes().enumerate();
+        let line_starts = bytes
             .filter(|(_, byte)| *byte == b'\n')
             .map(|(index, _)| index + 1)
             .collect();
         Report {
             line_starts,
-            found: Vec::new(),
+            problems: Vec::new(),
             omitted_count: 0,
         }
     }
 
-    /// Adds a problem of the value that starts at a byte offset of the text.
+    /// Adds a problem with the value that starts at byte `offset`; only counts it above the limit.
     pub(crate) fn add(&mut self, offset: usize, path: String, reason: String) {
-        if self.found.len() >= MAX_PROBLEMS {
+        if self.problems.len() >= MAX_PROBLEMS {
             self.omitted_count += 1;
             return;
         }
         let line = self.line_of(offset);
         let problem = Problem { path, line, reason };
-        self.found.push(Found { offset, problem });
+        self.problems.push(LocatedProblem { offset, problem });
     }
 
-    /// The line of a byte offset, counted from one.
+    /// The line that contains a byte offset, counted from one.
     pub(crate) fn line_of(&self, offset: usize) -> usize {
         self.line_starts.partition_point(|start| *start <= offset) + 1
     }
 
-    /// Whether no problem was added.
+    /// Whether no problem has been added.
     pub(crate) fn is_empty(&self) -> bool {
-        self.found.is_empty()
+        self.problems.is_empty()
     }
 
-    /// The problems in the order of the text.
+    /// The problems in the order of the text, then the number of problems above the limit, if any.
     pub(crate) fn into_problems(mut self) -> Vec<Problem> {
-        self.found.sort_by_key(|found| found.offset);
-        let mut problems: Vec<Problem> =
-            self.found.into_iter().map(|found| found.problem).collect();
+        self.problems.sort_by_key(|located| located.offset);
+        let mut problems: Vec<Problem> = self
+            .problems
+            .into_iter()
+            .map(|located| located.problem)
+            .collect();
         if self.omitted_count > 0 {
             problems.push(Problem {
                 path: String::new(),
@@ -70,7 +74,7 @@
     }
 }
 
-/// A text in quotes, shortened when long.
+/// The text in quotes, cut after [`MAX_QUOTED_CHARS`] characters.
 pub(crate) fn quoted(text: &str) -> String {
     if text.chars().count() <= MAX_QUOTED_CHARS {
         return format!("{text:?}");
--- a/lib/src/check_shape.rs
+++ b/lib/src/check_shape.rs
@@ -1,4 +1,4 @@
-//! The check of a document's shape against its JSON Schema.
+//! The check of a document's structure against its JSON Schema.
 
 use std::net::SocketAddr;
 
@@ -17,7 +17,7 @@
 
 const DEFINITION_PREFIX: &str = "#/$defs/";
 
-/// Reports unknown keys, keys given twice, missing fields, wrong types and values out of bounds.
+/// Reports unknown and duplicate keys, missing fields, wrong types and values out of bounds.
 pub(crate) fn check_shape(root: &Cursor<'_>, report: &mut Report) {
     let schema = document_schema();
     let mut check = ShapeCheck {
@@ -36,7 +36,7 @@
     fn value(&mut self, cursor: &Cursor<'_>, schema: &Json) {
         let schema = self.resolved(schema);
         if schema["oneOf"].is_array() {
-            return self.choice(cursor, schema);
+            return self.enumeration(cursor, schema);
         }
         if allows(schema, "null") && cursor.value.as_null_keyword().is_some() {
             return;
@@ -71,17 +71,17 @@
         &self.definitions[name]
     }
 
-    fn choice(&mut self, cursor: &Cursor<'_>, schema: &Json) {
-        let choices: Vec<&str> = elements(&schema["oneOf"])
+    fn enumeration(&mut self, cursor: &Cursor<'_>, schema: &Json) {
+        let variants: Vec<&str> = elements(&schema["oneOf"])
             .iter()
-            .filter_map(|choice| choice["const"].as_str())
+            .filter_map(|variant| variant["const"].as_str())
             .collect();
-        let chosen = cursor.text();
-        if chosen.is_some_and(|text| choices.contains(&text)) {
+        let value = cursor.text();
+        if value.is_some_and(|text| variants.contains(&text)) {
             return;
         }
-        let found = chosen.map_or_else(|| kind(cursor.value).to_owned(), quoted);
-        let reason = format!("must be one of {}, not {found}", choices.join(", "));
+        let found = value.map_or_else(|| kind(cursor.value).to_owned(), quoted);
+        let reason = format!("must be one of {}, not {found}", variants.join(", "));
         self.add(cursor, reason);
     }
 
@@ -96,7 +96,7 @@
                 continue;
             }
             let Some(field) = schema["properties"].get(name) else {
-                let reason = format!("unknown key; known here: {}", known_keys(schema));
+                let reason = format!("unknown key; allowed keys: {}", allowed_keys(schema));
                 self.report.add(offset, path, reason);
                 continue;
             };
@@ -155,9 +155,9 @@
         let min = bound(&schema["minimum"]);
         let max = bound(&schema["maximum"]);
         if min.is_some_and(|min| number < min) || max.is_some_and(|max| number > max) {
-            let least = min.unwrap_or(i128::MIN);
-            let most = max.unwrap_or(i128::MAX);
-            self.add(cursor, format!("must be {least} to {most}, not {number}"));
+            let min = min.unwrap_or(i128::MIN);
+            let max = max.unwrap_or(i128::MAX);
+            self.add(cursor, format!("must be {min} to {max}, not {number}"));
         }
     }
 
@@ -177,10 +177,10 @@
 
 fn allows(schema: &Json, name: &str) -> bool {
     let allowed = &schema["type"];
-    allowed == name || elements(allowed).iter().any(|one| one == name)
+    allowed == name || elements(allowed).iter().any(|kind| kind == name)
 }
 
-fn known_keys(schema: &Json) -> String {
+fn allowed_keys(schema: &Json) -> String {
     let Some(properties) = schema["properties"].as_object() else {
         return String::new();
     };
--- a/lib/src/check_values.rs
+++ b/lib/src/check_values.rs
@@ -1,4 +1,4 @@
-//! The check of values that depend on each other, and of addresses and paths.
+//! The check of values that depend on each other, of addresses and of paths.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::check_cursor::Cursor;
 use crate::check_report::Report;
 
-/// Reports deadlines, connections, addresses and paths that cannot work.
+/// Reports invalid deadlines, numbers of connections, addresses and paths.
 pub(crate) fn check_values(root: &Cursor<'_>, report: &mut Report) {
     for service in root.items("services") {
         check_deadlines(&service, report);
@@ -44,7 +44,8 @@
     };
     let visible = path.bytes().all(|byte| byte.is_ascii_graphic());
     if !path.starts_with('/') || !visible || path.contains(['?', '#']) {
-        let reason = "must begin with / and hold visible ASCII only, without ? or #".to_owned();
+        let reason = "must begin with / and contain only visible ASCII characters, without ? or #"
+            .to_owned();
         report.add(cursor.offset(), cursor.path, reason);
     }
 }
@@ -89,7 +90,7 @@
 
 fn check_reachable(cursor: &Cursor<'_>, address: SocketAddr, report: &mut Report) {
     if address.port() == 0 || address.ip().is_unspecified() || address.ip().is_multicast() {
-        let reason = format!("{address} is no address that can be connected to");
+        let reason = format!("{address} is not an address that can be connected to");
         report.add(cursor.offset(), cursor.path.clone(), reason);
     }
 }
