--- a/lib/src/data_centre.rs
+++ b/lib/src/data_centre.rs
@@ -1,4 +1,4 @@
-//! A data centre of the document.
+//! The data centres of the document and the network times between them.
 
 use almondhead_macros::document;
 
--- a/lib/src/document.rs
+++ b/lib/src/document.rs
@@ -1,4 +1,4 @@
-//! The operators' document: the whole intended state of one firm's site.
+//! The document that operators write: the complete intended state of one firm's site.
 
 use almondhead_macros::document;
 
--- a/lib/src/document_diff.rs
+++ b/lib/src/document_diff.rs
@@ -8,7 +8,7 @@
 
 use crate::document::Document;
 
-/// The fields by which the elements of a list are told apart.
+/// The fields that identify an element within its list.
 const IDENTITY_FIELDS: [&str; 2] = ["name", "to"];
 
 /// One difference between two documents.
@@ -16,9 +16,9 @@
 pub struct Change {
     /// The path of the value, with list elements by name: `/upstreams/worker-1/slots`.
     pub path: String,
-    /// The value before; none where it was added.
+    /// The value before the change; `None` if the value was added.
     pub before: Option<Value>,
-    /// The value after; none where it was removed.
+    /// The value after the change; `None` if the value was removed.
     pub after: Option<Value>,
 }
 
@@ -34,9 +34,9 @@
     }
 }
 
-/// The differences from one document to another, defaults written out.
+/// The changes from `before` to `after`, compared with all defaults filled in.
 ///
-/// The order of list elements is no difference. Comments are not compared.
+/// The order of list elements and comments are ignored.
 pub fn document_changes(before: &Document, after: &Document) -> Vec<Change> {
     let mut changes = Vec::new();
     compare(
@@ -85,27 +85,32 @@
     format!("{path}/{}", escape_pointer(name))
 }
 
-/// A key as a part of a JSON pointer.
+/// Escapes a key for use in a JSON pointer.
 pub(crate) fn escape_pointer(name: &str) -> String {
     name.replace('~', "~0").replace('/', "~1")
 }
 
-/// The members of an object by key, or of a list by the identity of its elements.
+/// The members of an object by key, or the elements of a list by identity.
+///
+/// Returns `None` for other values, and for lists with an element that has no identity field.
 fn members(value: &Value) -> Option<IndexMap<&str, &Value>> {
     match value {
         Value::Object(object) => Some(
             object
                 .iter()
-                .map(|(key, one)| (key.as_str(), one))
+                .map(|(key, member)| (key.as_str(), member))
                 .collect(),
         ),
-        Value::Array(list) => list.iter().map(|one| Some((identity(one)?, one))).collect(),
+        Value::Array(list) => list
+            .iter()
+            .map(|element| Some((identity(element)?, element)))
+            .collect(),
         _ => None,
     }
 }
 
 fn identity(element: &Value) -> Option<&str> {
     let fields = IDENTITY_FIELDS.iter();
-    let mut found = fields.filter_map(|field| element.get(field)?.as_str());
-    found.next()
+    let mut identities = fields.filter_map(|field| element.get(field)?.as_str());
+    identities.next()
 }
--- a/lib/src/document_edit.rs
+++ b/lib/src/document_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of a document's text that leave everything else, comments included, as it is.
+//! Edits of a document's text that leave the rest of the text, including comments, unchanged.
 
 use derive_more::Display;
 use derive_more::Error;
@@ -10,30 +10,30 @@
 use crate::check::parse_value;
 use crate::check_cursor::Cursor;
 
-/// An edit that cannot be made.
+/// Why an edit cannot be made.
 #[derive(Debug, Display, Error)]
 pub enum EditError {
     /// The text cannot be parsed.
-    #[display("edit {path}: the document has a syntax error")]
+    #[display("cannot edit {path}: the document has a syntax error")]
     Syntax {
-        /// What was to be edited.
+        /// The JSON pointer of the object, list or element to edit.
         path: String,
     },
-    /// There is no object or list at the path.
-    #[display("edit {path}: there is no such part of the document")]
-    NoPart {
-        /// What was to be edited.
+    /// There is no object, list or element at the path.
+    #[display("cannot edit {path}: the document has no such object, list or element")]
+    NotFound {
+        /// The JSON pointer of the object, list or element to edit.
         path: String,
     },
 }
 
-/// A container of the text and the stretches of its members.
+/// The byte ranges of an object or list and of its members in the text.
 struct Container {
     range: Range,
     members: Vec<Range>,
 }
 
-/// Sets a field of the object at a JSON pointer, or removes it where no value is given.
+/// Sets a field of the object at a JSON pointer, or removes the field if `value` is `None`.
 ///
 /// # Errors
 ///
@@ -46,7 +46,7 @@
 ) -> Result<String, EditError> {
     let tree = parse(text, path)?;
     let cursor = find(&tree, path)?;
-    let object = cursor.value.as_object().ok_or_else(|| no_part(path))?;
+    let object = cursor.value.as_object().ok_or_else(|| not_found(path))?;
     let container = Container {
         range: object.range,
         members: object.properties.iter().map(Ranged::range).collect(),
@@ -84,12 +84,12 @@
     let tree = parse(text, path)?;
     let container = list_at(&tree, path)?;
     if index >= container.members.len() {
-        return Err(no_part(&format!("{path}/{index}")));
+        return Err(not_found(&format!("{path}/{index}")));
     }
     Ok(container.remove(text, index))
 }
 
-/// The values of a document's text without its comments; none where it has a syntax error.
+/// Parses a document's text into its values; returns `None` if it cannot be parsed.
 pub fn read_values(text: &str) -> Option<Json> {
     jsonc_parser::parse_to_serde_value(text, &crate::check::strict_options()).ok()
 }
@@ -123,21 +123,21 @@
 }
 
 fn find<'t>(tree: &'t Value<'t>, path: &str) -> Result<Cursor<'t>, EditError> {
-    Cursor::root(tree).at(path).ok_or_else(|| no_part(path))
+    Cursor::root(tree).at(path).ok_or_else(|| not_found(path))
 }
 
 fn list_at<'t>(tree: &'t Value<'t>, path: &str) -> Result<Container, EditError> {
     let cursor = find(tree, path)?;
-    let array = cursor.value.as_array().ok_or_else(|| no_part(path))?;
+    let array = cursor.value.as_array().ok_or_else(|| not_found(path))?;
     Ok(Container {
         range: array.range,
         members: array.elements.iter().map(Ranged::range).collect(),
     })
 }
 
-fn no_part(path: &str) -> EditError {
+fn not_found(path: &str) -> EditError {
     let path = path.to_owned();
-    EditError::NoPart { path }
+    EditError::NotFound { path }
 }
 
 fn splice(text: &str, start: usize, end: usize, replacement: &str) -> String {
--- a/lib/src/instance.rs
+++ b/lib/src/instance.rs
@@ -1,4 +1,4 @@
-//! An entry instance of the document.
+//! The entry instances of the document.
 
 use std::net::SocketAddr;
 
--- a/lib/src/revision.rs
+++ b/lib/src/revision.rs
@@ -1,41 +1,41 @@
-//! Revisions of the document as they stand in the platform's table and object store.
+//! How revisions of the document are stored in the platform's table and object store.
 
 use almondhead_macros::message;
 
-/// The platform's table that holds the head and the history.
+/// The name of the platform's table that contains the head and the history.
 pub const DOCUMENTS_TABLE: &str = "documents";
 
-/// The key of the row that holds the head.
+/// The key of the row that contains the head, the latest accepted revision.
 pub const HEAD_KEY: &str = "head";
 
-/// The digits of a revision in a key, enough for every revision.
+/// The number of digits of a zero-padded revision in a key; enough for every `u64`.
 const REVISION_DIGITS: usize = 20;
 
-/// What the head row says of one accepted document, JSON in the table.
+/// The metadata of one accepted document, stored as JSON in the table.
 #[message]
 #[derive(Eq)]
 pub struct Head {
-    /// The revision; the first is 1, and each accepted document adds 1.
+    /// The revision; starts at 1 and increases by 1 with each accepted document.
     pub revision: u64,
-    /// The name of the object that holds the document's text.
+    /// The name of the object that contains the document's text.
     pub object: String,
-    /// The token of this one submission, by which a lost answer is resolved.
+    /// A token unique to this submission, by which the writer resolves a lost answer.
     pub writer_token: String,
-    /// Who submitted it.
+    /// The name of the submitter.
     pub author: String,
-    /// When it was submitted by the submitter's clock, in milliseconds since the Unix epoch.
+    /// The submission time by the submitter's clock, in milliseconds since the Unix epoch.
     pub submitted_at_unix_ms: u64,
-    /// What the submitter wrote about it.
+    /// The submitter's comment; may be empty.
     #[serde(default)]
     pub note: String,
 }
 
-/// The key of the row that keeps the head of a revision after newer ones were accepted.
+/// The key of the row that keeps the head of a revision after newer revisions are accepted.
 pub fn history_key(revision: u64) -> String {
     format!("history/{revision:0REVISION_DIGITS$}")
 }
 
-/// The name of the object that holds the text of a submission.
+/// The name of the object that contains the document's text of one submission.
 pub fn object_name(revision: u64, writer_token: &str) -> String {
     format!("documents/{revision}-{writer_token}")
 }
--- a/lib/src/schema.rs
+++ b/lib/src/schema.rs
@@ -1,13 +1,13 @@
-//! The JSON Schema of the document, generated from its types.
+//! The JSON Schema of the document, generated from the Rust types.
 
 use serde_json::Value;
 
 use crate::document::Document;
 
-/// The schema's `format` of an IP address with its port, `10.0.0.1:8080`.
+/// The `format` that the schema gives to an IP address with a port, such as `10.0.0.1:8080`.
 pub(crate) const SOCKET_ADDRESS_FORMAT: &str = "socket-address";
 
-/// The JSON Schema of [`Document`], with the bounds that the checker enforces.
+/// The JSON Schema of [`Document`], including the limits that the checker enforces.
 pub fn document_schema() -> Value {
     schemars::schema_for!(Document).to_value()
 }
--- a/lib/src/service.rs
+++ b/lib/src/service.rs
@@ -1,4 +1,4 @@
-//! A service of the document.
+//! The services of the document.
 
 use almondhead_macros::document;
 
--- a/lib/src/target.rs
+++ b/lib/src/target.rs
@@ -1,21 +1,21 @@
-//! What the entry process must know of an upstream to send it a task.
+//! What the entry process needs to send a task to an upstream.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use almondhead_macros::value;
 
-/// An upstream as the target of attempts.
+/// The address and connection settings of an upstream that attempts are sent to.
 #[value]
 pub struct UpstreamTarget {
-    /// Its name.
+    /// The name of the upstream.
     pub name: Arc<str>,
     /// Its HTTP address.
     pub address: SocketAddr,
-    /// The path that runs one task.
+    /// The path of the HTTP resource that runs one task.
     pub path: Arc<str>,
-    /// The most connections that this entry instance may hold to it.
+    /// The maximum number of connections from this entry instance.
     pub connections: u32,
-    /// Whether it is spoken to by HTTP/2 with prior knowledge.
+    /// Whether to use HTTP/2 with prior knowledge.
     pub http2: bool,
 }
--- a/lib/src/team.rs
+++ b/lib/src/team.rs
@@ -1,4 +1,4 @@
-//! A team of the document.
+//! The teams of the document.
 
 use almondhead_macros::document;
 
--- a/lib/src/upstream.rs
+++ b/lib/src/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream of the document.
+//! The upstreams of the document.
 
 use std::net::SocketAddr;
 
--- a/lib/tests/document_check.rs
+++ b/lib/tests/document_check.rs
@@ -1,4 +1,4 @@
-//! The checker of documents: a table of broken documents with the expected path, line and words.
+//! The document checker: a table of invalid documents with the expected path, line and words.
 
 use almondhead_lib::check::Problem;
 use almondhead_lib::check::check_document;
@@ -7,7 +7,7 @@
 use almondhead_lib::document_limits::MAX_SEPARATORS;
 use almondhead_lib::document_limits::MAX_UPSTREAMS;
 
-const SOUND: &str = r#"{
+const VALID: &str = r#"{
   "firm": "Example", // a comment
   "policies": { "prefer": "response_time" },
   "data_centres": [
@@ -33,7 +33,7 @@
   "teams": [ { "name": "desk", "weight": 1, "max_open_tasks": 100, "max_tasks_per_second": 100 } ]
 }"#;
 
-/// One replacement in the sound document and the one problem that it makes.
+/// One replacement in the valid document and the one problem that it causes.
 struct Case {
     from: &'static str,
     to: &'static str,
@@ -113,17 +113,17 @@
 }
 
 #[test]
-fn sound_document() {
-    let document = check_document(SOUND).expect("the document is sound");
+fn valid_document() {
+    let document = check_document(VALID).expect("the document is valid");
     assert_eq!(document.upstreams.len(), 2);
     assert_eq!(document.policies.retry_percent, 10);
 }
 
 #[test]
-fn each_fault_alone() {
+fn each_problem_alone() {
     for case in CASES {
-        assert!(SOUND.contains(case.from), "no {:?} to replace", case.from);
-        let problems = problems_of(&SOUND.replacen(case.from, case.to, 1));
+        assert!(VALID.contains(case.from), "no {:?} to replace", case.from);
+        let problems = problems_of(&VALID.replacen(case.from, case.to, 1));
         let shown: Vec<String> = problems.iter().map(Problem::to_string).collect();
         assert_eq!(problems.len(), 1, "{:?}: {shown:?}", case.to);
         assert_eq!(problems[0].path, case.path, "{shown:?}");
@@ -133,8 +133,8 @@
 }
 
 #[test]
-fn all_faults_together() {
-    let text = SOUND
+fn all_problems_together() {
+    let text = VALID
         .replace("response_time", "speed")
         .replace(r#""to": "west""#, r#""to": "north""#)
         .replace("10.0.0.2:7400", "nowhere")
@@ -144,7 +144,7 @@
     let problems = problems_of(&text);
     let found: Vec<(&str, usize)> = problems
         .iter()
-        .map(|one| (one.path.as_str(), one.line))
+        .map(|problem| (problem.path.as_str(), problem.line))
         .collect();
     let expected = [
         ("/policies/prefer", 3),
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn bounded_size() {
+fn size_limits() {
     let long = " ".repeat(MAX_DOCUMENT_BYTES + 1);
     assert!(problems_of(&long)[0].reason.contains("bytes"));
     let wide = format!("[{}]", "0,".repeat(MAX_SEPARATORS + 1));
@@ -171,10 +171,10 @@
     assert!(
         problems
             .iter()
-            .any(|one| one.reason.contains("more than the 5000 allowed"))
+            .any(|problem| problem.reason.contains("more than the 5000 allowed"))
     );
-    let faulty = format!(r#"{{"upstreams": [{}]}}"#, "7,".repeat(MAX_PROBLEMS));
-    let problems = problems_of(&faulty);
+    let many_problems = format!(r#"{{"upstreams": [{}]}}"#, "7,".repeat(MAX_PROBLEMS));
+    let problems = problems_of(&many_problems);
     assert_eq!(problems.len(), MAX_PROBLEMS + 1);
     assert!(problems[MAX_PROBLEMS].reason.contains("not listed"));
 }
@@ -184,13 +184,13 @@
     assert!(problems_of("// nothing\n")[0].reason.contains("empty"));
 }
 
-/// Elements of a list, written by the index of each.
+/// The text of `count` list elements, each written by `element` from its index.
 fn list(count: usize, element: impl Fn(usize) -> String) -> String {
     (0..count).map(element).collect::<Vec<_>>().join(",\n")
 }
 
 #[test]
-fn target_size() {
+fn document_of_the_target_size() {
     let data_centres = list(10, |i| format!(r#"{{ "name": "dc-{i}" }}"#));
     let instances = list(400, |i| {
         let (dc, high, low) = (i % 10, i / 250, i % 250);
--- a/lib/tests/document_edit.rs
+++ b/lib/tests/document_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of a document's text.
+//! Edits of a document's text: fields and list elements change, comments stay.
 
 use almondhead_lib::document_edit::append_element;
 use almondhead_lib::document_edit::read_values;
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn refused_edits() {
+fn invalid_edits_fail() {
     assert!(set_field("{", "", "a", Some(&json!(1))).is_err());
     assert!(set_field(TEXT, "/a", "x", None).is_err());
     assert!(set_field(TEXT, "/c", "x", None).is_err());
--- a/lib/tests/document_examples.rs
+++ b/lib/tests/document_examples.rs
@@ -1,4 +1,4 @@
-//! The example documents pass the checker and hold the sites' real sizes.
+//! The example documents pass the checker and describe the sites in their real sizes.
 
 use almondhead_lib::check::check_document;
 use almondhead_lib::document::Document;
@@ -8,7 +8,7 @@
 const DIRECTORY_ENQUIRIES: &str = include_str!("../../examples/directory-enquiries.jsonc");
 const ORDER_BOOKING: &str = include_str!("../../examples/order-booking.jsonc");
 
-fn checked(text: &str) -> Document {
+fn parse_valid(text: &str) -> Document {
     check_document(text).unwrap_or_else(|problems| panic!("{problems:#?}"))
 }
 
@@ -25,7 +25,7 @@
 
 #[test]
 fn directory_enquiries() {
-    let document = checked(DIRECTORY_ENQUIRIES);
+    let document = parse_valid(DIRECTORY_ENQUIRIES);
     assert_eq!(document.data_centres.len(), 4);
     assert_eq!(document.instances.len(), 7);
     assert_eq!(document.policies.prefer, Prefer::ResponseTime);
@@ -34,7 +34,7 @@
 
 #[test]
 fn order_booking() {
-    let document = checked(ORDER_BOOKING);
+    let document = parse_valid(ORDER_BOOKING);
     assert_eq!(document.data_centres.len(), 3);
     assert_eq!(document.instances.len(), 6);
     assert_eq!(document.policies.prefer, Prefer::FewerMessages);
--- a/lib/tests/document_fuzz.rs
+++ b/lib/tests/document_fuzz.rs
@@ -1,4 +1,4 @@
-//! No text makes the checker panic, and what it reports is bounded and points into the text.
+//! The checker panics on no text; its reports are limited in number and have valid line numbers.
 
 use almondhead_lib::check::check_document;
 use almondhead_lib::document_limits::MAX_PROBLEMS;
@@ -21,7 +21,7 @@
     "\u{0}", "\u{feff}",
 ];
 
-/// Cuts, doubles, inserts and swaps a few stretches of a text at random.
+/// Mutates a text at random: removes or repeats ranges, replaces characters, inserts snippets.
 fn mutate(random: &mut SmallRng, text: &str) -> String {
     let mut characters: Vec<char> = text.chars().collect();
     for _ in 0..random.random_range(1..6) {
@@ -30,8 +30,8 @@
         match random.random_range(0..4) {
             0 => drop(characters.drain(start..end)),
             1 => {
-                let stretch = characters[start..end].to_vec();
-                characters.splice(start..start, stretch);
+                let range = characters[start..end].to_vec();
+                characters.splice(start..start, range);
             }
             2 => characters[start] = random.random(),
             _ => {
@@ -43,7 +43,7 @@
     characters.into_iter().collect()
 }
 
-fn check_report(text: &str) {
+fn assert_valid_report(text: &str) {
     let Err(problems) = check_document(text) else {
         return;
     };
@@ -61,7 +61,7 @@
     let mut random = SmallRng::seed_from_u64(SEED);
     for round in 0..ROUNDS {
         let text = mutate(&mut random, EXAMPLES[round % EXAMPLES.len()]);
-        check_report(&text);
+        assert_valid_report(&text);
     }
 }
 
@@ -71,6 +71,6 @@
     for _ in 0..ROUNDS {
         let length = random.random_range(0..300);
         let bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
-        check_report(&String::from_utf8_lossy(&bytes));
+        assert_valid_report(&String::from_utf8_lossy(&bytes));
     }
 }
