--- a/lib/src/queue_length.rs
+++ b/lib/src/queue_length.rs
@@ -1,4 +1,4 @@
-//! Refusal when the queue holds its bound of tasks.
+//! The admission policy that refuses jobs which exceed the maximum queue length.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use crate::outcome::NotRunReason;
 use crate::retry_after::retry_after;
 
-/// When to try again while no upstream takes work.
+/// The retry time while the service has no usable slots.
 const NO_SLOT_WAIT: Duration = Duration::from_secs(1);
 
-/// Refuses a job only when its tasks do not fit into the queue's bound.
+/// Refuses a job when its tasks would exceed the maximum queue length, or when there are no slots.
 ///
-/// A job larger than the bound is taken when nothing is queued, so that it is not refused for ever.
+/// A job larger than the maximum is admitted while nothing is queued; otherwise it would never be.
 #[derive(Debug)]
 pub struct QueueLength;
 
@@ -22,7 +22,7 @@
         if load.slots == 0 {
             return Err(Refusal {
                 reason: NotRunReason::NotTaken,
-                retry_after: retry_after(NO_SLOT_WAIT, load.spread),
+                retry_after: retry_after(NO_SLOT_WAIT, load.jitter_seed),
             });
         }
         let queued = load.queued_tasks.saturating_add(load.tasks);
@@ -33,7 +33,7 @@
         let capacity_in = load.run_estimate.mean * excess / load.slots;
         Err(Refusal {
             reason: NotRunReason::QueueFull,
-            retry_after: retry_after(capacity_in, load.spread),
+            retry_after: retry_after(capacity_in, load.jitter_seed),
         })
     }
 }
