--- a/entry/src/run_driver.rs
+++ b/entry/src/run_driver.rs
@@ -184,7 +184,10 @@
                     reply.try_send(answer).ok();
                 }
             }
-            RunAction::Order { order, order_to } => self.give_order(order, order_to),
+            RunAction::Order {
+                order,
+                addressed_order,
+            } => self.give_order(order, addressed_order),
             RunAction::SendPeer { instance, message } => self.send_peer(instance, message),
             RunAction::SetPeers(peers) => {
                 let peers: Vec<Sibling> = peers.into_iter().map(sibling).collect();
@@ -200,14 +203,14 @@
         }
     }
 
-    fn give_order(&self, order: OrderId, order_to: AddressedOrder) {
+    fn give_order(&self, order: OrderId, addressed_order: AddressedOrder) {
         let orders = Arc::clone(&self.effects.orders);
         let handle = self.effects.handle.clone();
         let metrics = self.effects.metrics.clone();
         executor::spawn(async move {
             let given_at = std::time::Instant::now();
-            let answer = orders.give(&order_to).await;
-            metrics.count_order(&order_to.order, &answer, given_at.elapsed());
+            let answer = orders.give(&addressed_order).await;
+            metrics.count_order(&addressed_order.order, &answer, given_at.elapsed());
             handle.send(RunEvent::OrderAnswered { order, answer });
         });
     }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -752,7 +752,7 @@
         let listed = &self.upstreams[on].listed;
         self.actions.push(RunAction::Order {
             order: number,
-            order_to: AddressedOrder {
+            addressed_order: AddressedOrder {
                 upstream: listed.id.clone(),
                 address: listed.address,
                 order,
--- a/lib/src/runs/run_action.rs
+++ b/lib/src/runs/run_action.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher of leased runs wants done.
+//! The outputs of the dispatcher of leased runs.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,22 +12,24 @@
 use crate::id::Incarnation;
 use crate::id::RequestId;
 
-/// Something to be done.
+/// An operation that [`RunDispatcher`](super::run_dispatcher::RunDispatcher) leaves to its caller,
+/// since it does no I/O.
 #[value]
 pub enum RunAction {
-    /// Answer a caller.
+    /// Answer a caller's request.
     Answer {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: RunAnswer,
     },
-    /// Give an order to an upstream.
+    /// Send an order to an upstream.
     Order {
-        /// The number to answer under.
+        /// The number that identifies the order in
+        /// [`RunEvent::OrderAnswered`](super::event::RunEvent::OrderAnswered).
         order: OrderId,
-        /// The order.
-        order_to: AddressedOrder,
+        /// The order with the upstream that it is for.
+        addressed_order: AddressedOrder,
     },
     /// Send a message to another instance.
     SendPeer {
@@ -36,25 +38,25 @@
         /// The message.
         message: Box<TimedRunMessage>,
     },
-    /// Replace the instances that messages can be sent to.
+    /// Replace the set of instances that messages can be sent to.
     SetPeers(Vec<PeerAddress>),
-    /// Remove a member that has died from the roster, if its row is still this version.
+    /// Remove a dead member from the roster if its row still has this version.
     RemoveMember {
         /// The member's name.
         name: Arc<str>,
         /// The version of its row.
         row_version: u64,
     },
-    /// Register this instance again: it was removed while it lived.
+    /// Register this instance again: it was removed from the roster while it was running.
     RegisterAgain,
 }
 
-/// Where another instance takes messages.
+/// The identity of another instance and where it accepts messages.
 #[value]
 pub struct PeerAddress {
     /// The instance's name.
     pub name: Arc<str>,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: Arc<str>,
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -665,12 +665,16 @@
     fn execute(&mut self, node: usize, action: RunAction) {
         match action {
             RunAction::Answer { request, answer } => self.note_answer(node, request, answer),
-            RunAction::Order { order, order_to } => {
+            RunAction::Order {
+                order,
+                addressed_order,
+            } => {
                 let found = self.upstreams.iter();
                 let mut found = found.zip(0..);
-                let upstream = found.find(|(state, _)| state.listed.address == order_to.address);
+                let upstream =
+                    found.find(|(state, _)| state.listed.address == addressed_order.address);
                 if let Some((_, upstream)) = upstream {
-                    self.give(node, order, upstream, order_to.order);
+                    self.give(node, order, upstream, addressed_order.order);
                 }
             }
             RunAction::SendPeer { instance, message } => self.send(node, &instance, message),
