--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -298,8 +298,8 @@
             return true;
         }
         let eager = self.plan.policies().prefer == Prefer::ResponseTime;
-        let rooms = digest.services.iter().map(ServiceLoad::room);
-        eager && rooms.ne(told.services.iter().map(ServiceLoad::room))
+        let rooms = digest.services.iter().map(ServiceLoad::free_share);
+        eager && rooms.ne(told.services.iter().map(ServiceLoad::free_share))
     }
 
     /// Sends a digest to the nearest siblings.
--- a/lib/src/peer_message.rs
+++ b/lib/src/peer_message.rs
@@ -1,7 +1,7 @@
-//! The messages between entry instances, as the dispatcher sees them.
+//! The messages between entry instances.
 //!
-//! Every message may arrive twice, late or never. Times are spans, never clock readings,
-//! since the clocks of two instances differ.
+//! A message may arrive twice, late or never. Times are durations rather than clock readings, since
+//! the clocks of two instances differ.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,15 +22,15 @@
 /// A message between entry instances.
 #[value]
 pub enum PeerMessage {
-    /// Hand a caller's request to the home of its job.
+    /// Forward a caller's request to the home of its job.
     ForwardRequest {
         /// The sender's number for the request, repeated in the answer.
         correlation: u64,
-        /// The home that must take it; any other incarnation answers [`PeerMessage::HomeGone`].
+        /// The home that has to handle it; any other incarnation answers [`PeerMessage::HomeGone`].
         home: Incarnation,
         /// The job's address.
         address: JobAddress,
-        /// What the caller asks.
+        /// What the caller asks for.
         request: ForwardedRequest,
     },
     /// The home's answer to a forwarded request.
@@ -40,14 +40,14 @@
         /// The answer.
         answer: JobAnswer,
     },
-    /// The incarnation that was to take a forwarded request runs no more.
+    /// The incarnation that a request was forwarded to has ended.
     HomeGone {
         /// The number of the request.
         correlation: u64,
     },
-    /// Tasks to run in the receiver's free slots.
+    /// Run these tasks in free slots of the receiver.
     TaskBatch(TaskBatch),
-    /// How tasks of a batch ended; tasks not named are still open.
+    /// How tasks of a batch ended; the tasks not listed are still open.
     BatchAnswer {
         /// The batch.
         batch: BatchId,
@@ -56,7 +56,7 @@
         /// The sender's load.
         digest: LoadDigest,
     },
-    /// None of the batch ran, and none will.
+    /// The batch is refused: none of its tasks ran, and none will.
     BatchRefused {
         /// The batch.
         batch: BatchId,
@@ -68,14 +68,14 @@
         /// The batches.
         batches: Vec<BatchId>,
     },
-    /// The sender's load and the newest revision of the document that it holds.
+    /// The sender's load and the newest revision of the document that it has.
     Digest(LoadDigest),
-    /// Ask for the document that the receiver holds.
+    /// Request the receiver's document.
     DocumentRequest {
-        /// The revision that the sender holds, zero when none.
+        /// The revision that the sender has; zero when it has none.
         have_revision: u64,
     },
-    /// The document that the sender holds.
+    /// The sender's document.
     DocumentBody {
         /// The revision.
         revision: u64,
@@ -89,9 +89,9 @@
 /// What a caller asked of a job.
 #[value]
 pub enum ForwardedRequest {
-    /// Run it, or join it when it runs already.
+    /// Run it, or wait for it when it is open already.
     Submit(Arc<Submission>),
-    /// Give its answer.
+    /// Return its answer.
     LookUp,
     /// Cancel it.
     Cancel,
@@ -100,9 +100,9 @@
 /// Tasks of one job that a sibling runs for the job's home.
 #[value]
 pub struct TaskBatch {
-    /// The sender's number of the batch, rising by one for each batch to this receiver.
+    /// The sender's number of the batch; it increases by one with each batch to this receiver.
     pub batch: BatchId,
-    /// The receiver's incarnation for which the number holds.
+    /// The receiver's incarnation for which the number is valid.
     pub receiver: Incarnation,
     /// The name of the service.
     pub service: Arc<str>,
@@ -112,11 +112,11 @@
     pub time_left: Duration,
     /// What each task needs of its upstream.
     pub needs: Needs,
-    /// How many tasks the whole job still has, for the order in the queue.
+    /// How many tasks of the whole job are open, for ordering the queue.
     pub remaining: u32,
     /// The tasks.
     pub tasks: Vec<BatchTask>,
-    /// The W3C `traceparent` to pass on.
+    /// The W3C `traceparent` to propagate.
     pub traceparent: Option<Arc<str>>,
 }
 
@@ -134,17 +134,17 @@
 pub struct TaskEnd {
     /// The task.
     pub task: TaskId,
-    /// How.
+    /// How it ended.
     pub end: AttemptEnd,
 }
 
-/// What an entry instance tells its siblings of itself.
+/// The state of an entry instance, as it reports it to its siblings.
 #[value]
 #[derive(Default)]
 pub struct LoadDigest {
-    /// The newest revision of the document that it holds, zero when none.
+    /// The newest revision of the document that it has; zero when it has none.
     pub revision: u64,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
     /// Its load for each service that it has upstreams for.
     pub services: Vec<ServiceLoad>,
@@ -155,32 +155,32 @@
 pub struct ServiceLoad {
     /// The name of the service.
     pub service: Arc<str>,
-    /// The slots of its upstreams that are free.
+    /// The free slots of its upstreams in use, less those that queued tasks will take.
     pub free_slots: u32,
     /// All slots of its upstreams in use.
     pub slots: u32,
-    /// The tasks that wait.
+    /// The queued tasks for which no slot is free.
     pub queued_tasks: u32,
 }
 
-/// How much room a service has, in the steps that matter to siblings.
+/// The share of a service's slots that is free, in the grades that siblings tell apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum FreeShare {
     /// No slot is free.
-    Full,
-    /// Up to a quarter of the slots is free.
-    Little,
-    /// More than a quarter of the slots is free.
-    Much,
+    None,
+    /// Up to a quarter of the slots are free.
+    UpToQuarter,
+    /// More than a quarter of the slots are free.
+    OverQuarter,
 }
 
 impl ServiceLoad {
-    /// How much room the service has.
-    pub fn room(&self) -> Room {
+    /// The grade of its free share.
+    pub fn free_share(&self) -> FreeShare {
         match self.free_slots {
-            0 => Room::Full,
-            free if free <= self.slots / 4 => Room::Little,
-            _ => Room::Much,
+            0 => FreeShare::None,
+            free if free <= self.slots / 4 => FreeShare::UpToQuarter,
+            _ => FreeShare::OverQuarter,
         }
     }
 }
