--- a/lib/src/health.rs
+++ b/lib/src/health.rs
@@ -1,4 +1,4 @@
-//! The health of one upstream, judged by the ends of the tasks that started there.
+//! The health of one upstream (a circuit breaker), derived from how tasks there end.
 
 use std::time::Duration;
 
@@ -6,64 +6,65 @@
 
 use crate::time::Timestamp;
 
-/// The failures in a row that eject an upstream.
+/// The number of consecutive failures that ejects an upstream.
 const EJECT_AFTER_FAILURES: u32 = 3;
 
-/// The recent share of failures that ejects an upstream.
+/// The recent failure rate that ejects an upstream.
 const EJECT_AT_FAILURE_RATE: f64 = 0.5;
 
-/// The weight of one end in the recent share of failures.
+/// The weight of the latest end in the recent failure rate.
 const FAILURE_RATE_WEIGHT: f64 = 0.125;
 
-/// How long an upstream is out after its first ejection.
+/// How long the first ejection lasts until a probe.
 const FIRST_BACK_OFF: Duration = Duration::from_secs(1);
 
-/// The longest time between two probes.
+/// The upper bound on the back-off between probes.
 const MAX_BACK_OFF: Duration = Duration::from_secs(60);
 
-/// The time in use after which earlier ejections no longer lengthen the next one.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(60);
+/// The time since the last ejection ended after which earlier ejections no longer lengthen the
+/// next one.
+const EJECTIONS_RESET_AFTER: Duration = Duration::from_secs(60);
 
-/// How many tasks may run at an upstream whose last end was a failure.
-const SUSPECT_IN_FLIGHT: u32 = 1;
+/// How many tasks may run on an upstream whose last task failed.
+const MAX_IN_FLIGHT_AFTER_FAILURE: u32 = 1;
 
-/// How long nothing starts after a first refusal.
+/// How long nothing starts after the first refusal.
 const FIRST_REFUSAL_PAUSE: Duration = Duration::from_millis(5);
 
-/// The longest pause after refusals in a row.
+/// The upper bound on the pause after consecutive refusals.
 const MAX_REFUSAL_PAUSE: Duration = Duration::from_millis(320);
 
-/// Whether an upstream takes work.
+/// Whether an upstream accepts tasks.
 #[key]
 pub enum HealthState {
-    /// It takes work.
+    /// It accepts tasks.
     Healthy,
-    /// It takes none until the time given.
+    /// It accepts no tasks until the given time.
     Ejected {
-        /// When one probe may start.
+        /// When a probe may start.
         until: Timestamp,
     },
-    /// It may run one task at a time, whose end decides.
+    /// It may run one task at a time as a probe, whose end restores or ejects it.
     Probing,
 }
 
-/// What an end changed about an upstream's health.
+/// How the end of a task changed an upstream's health.
 #[key]
 #[must_use]
 pub enum HealthChange {
-    /// Nothing that others need to hear of.
+    /// It was neither ejected nor restored; a failed probe only lengthens the ejection.
     Unchanged,
-    /// It was ejected; [`crate::ejection_gate::EjectionGate::review`] is due.
+    /// It was ejected; the caller has to call [`crate::ejection_gate::EjectionGate::review`].
     Ejected,
-    /// It takes work again.
+    /// It accepts tasks again.
     Restored,
 }
 
 /// The health of one upstream.
 ///
-/// Failures in a row, or a high recent share of them, eject it for a back-off that doubles with
-/// each failed probe. After one failure it runs a single task at a time until one succeeds, so a
-/// fast failure does not draw more work to it.
+/// Consecutive failures, or a high recent failure rate, eject it for a back-off that doubles with
+/// each failed probe. After a failure it runs a single task at a time until one succeeds; otherwise
+/// fast failures would make it look idle and attract more tasks.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamHealth {
     ejected_until: Option<Timestamp>,
@@ -76,7 +77,7 @@
 }
 
 impl UpstreamHealth {
-    /// Counts a task that finished.
+    /// Records that a task finished.
     pub fn on_success(&mut self, now: Timestamp) -> HealthChange {
         self.consecutive_failures = 0;
         self.consecutive_refusals = 0;
@@ -89,12 +90,12 @@
         HealthChange::Restored
     }
 
-    /// Counts a connect failure, a failed task or an unknown end.
+    /// Records a connection failure, a failed task or an unknown end.
     pub fn on_failure(&mut self, now: Timestamp) -> HealthChange {
         self.consecutive_failures = self.consecutive_failures.saturating_add(1);
         self.failure_rate += (1.0 - self.failure_rate) * FAILURE_RATE_WEIGHT;
         match self.state(now) {
-            HealthState::Healthy if self.fails_too_often() => {
+            HealthState::Healthy if self.has_too_many_failures() => {
                 self.eject(now);
                 HealthChange::Ejected
             }
@@ -106,9 +107,9 @@
         }
     }
 
-    /// Counts a refusal by the upstream's guard: it is full, not broken.
+    /// Records that the upstream refused a task because it is full; that is not a failure.
     ///
-    /// Nothing starts there for a pause that doubles with each refusal in a row.
+    /// Nothing starts there for a pause that doubles with each consecutive refusal.
     pub fn on_refusal(&mut self, now: Timestamp) {
         let pause = doubled(
             FIRST_REFUSAL_PAUSE,
@@ -119,7 +120,7 @@
         self.paused_until = now + pause;
     }
 
-    /// Whether the upstream takes work.
+    /// Whether the upstream accepts tasks.
     pub fn state(&self, now: Timestamp) -> HealthState {
         match self.ejected_until {
             None => HealthState::Healthy,
@@ -129,19 +130,19 @@
     }
 
     /// Whether a task may start there while `in_flight` others run.
-    pub fn may_start(&self, now: Timestamp, in_flight: u32) -> bool {
+    pub fn can_start(&self, now: Timestamp, in_flight: u32) -> bool {
         if now < self.paused_until {
             return false;
         }
         match self.state(now) {
             HealthState::Healthy if self.consecutive_failures == 0 => true,
-            HealthState::Healthy => in_flight < SUSPECT_IN_FLIGHT,
+            HealthState::Healthy => in_flight < MAX_IN_FLIGHT_AFTER_FAILURE,
             HealthState::Ejected { .. } => false,
             HealthState::Probing => in_flight == 0,
         }
     }
 
-    /// The first point after `now` at which [`Self::may_start`] can change by time alone.
+    /// The first time after `now` at which [`Self::can_start`] can change without another event.
     pub fn next_change(&self, now: Timestamp) -> Option<Timestamp> {
         [self.ejected_until, Some(self.paused_until)]
             .into_iter()
@@ -150,30 +151,30 @@
             .min()
     }
 
-    /// The recent share of failures among ends, between zero and one.
+    /// The recent failure rate, between zero and one.
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
     }
 
-    /// Whether it is out of use, probes included.
+    /// Whether it is ejected, which includes probing.
     pub fn is_ejected(&self) -> bool {
         self.ejected_until.is_some()
     }
 
-    /// Takes an ejection back; another run of failures is needed for the next one.
+    /// Cancels the ejection; the count of consecutive failures starts from zero.
     pub(crate) fn reinstate(&mut self, now: Timestamp) {
         self.ejected_until = None;
         self.restored_at = now;
         self.consecutive_failures = 0;
     }
 
-    fn fails_too_often(&self) -> bool {
+    fn has_too_many_failures(&self) -> bool {
         self.consecutive_failures >= EJECT_AFTER_FAILURES
             || self.failure_rate >= EJECT_AT_FAILURE_RATE
     }
 
     fn eject(&mut self, now: Timestamp) {
-        if !self.is_ejected() && now.since(self.restored_at) > FORGIVEN_AFTER {
+        if !self.is_ejected() && now.since(self.restored_at) > EJECTIONS_RESET_AFTER {
             self.ejections = 0;
         }
         let back_off = doubled(FIRST_BACK_OFF, self.ejections, MAX_BACK_OFF);
@@ -182,7 +183,7 @@
     }
 }
 
-/// `first` doubled `times`, at most `longest`.
+/// `first` doubled `times` times, at most `longest`.
 fn doubled(first: Duration, times: u32, longest: Duration) -> Duration {
     let factor = 1u32.checked_shl(times).unwrap_or(u32::MAX);
     first.saturating_mul(factor).min(longest)
--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -119,7 +119,7 @@
     /// Whether a task may start there now, as far as room is not concerned.
     pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
         let in_flight = u32::try_from(self.runs.len()).unwrap_or(u32::MAX);
-        self.is_usable() && self.unclaimed_runs.is_empty() && self.health.may_start(now, in_flight)
+        self.is_usable() && self.unclaimed_runs.is_empty() && self.health.can_start(now, in_flight)
     }
 
     /// Whether it is in touch and stays.
--- a/lib/src/upstream_state.rs
+++ b/lib/src/upstream_state.rs
@@ -65,7 +65,7 @@
         self.is_in_use(unix_ms)
             && self.in_flight < self.effective_slots
             && now >= self.paused_until
-            && self.health.may_start(now, self.in_flight)
+            && self.health.can_start(now, self.in_flight)
     }
 
     /// Whether its equipment meets the needs.
--- a/lib/tests/upstream_health.rs
+++ b/lib/tests/upstream_health.rs
@@ -1,4 +1,4 @@
-//! Ejection, probing and slow upstreams.
+//! Ejection and probing of failing upstreams, and slots of slow ones.
 
 use std::time::Duration;
 
@@ -27,13 +27,13 @@
 #[test]
 fn failures_in_a_row_eject_and_a_probe_restores() {
     let mut health = ejected_at(at_ms(0));
-    assert!(!health.may_start(at_ms(999), 0));
+    assert!(!health.can_start(at_ms(999), 0));
     assert_eq!(health.next_change(at_ms(0)), Some(at_ms(1_000)));
     assert_eq!(health.state(at_ms(1_000)), HealthState::Probing);
-    assert!(health.may_start(at_ms(1_000), 0));
-    assert!(!health.may_start(at_ms(1_000), 1));
+    assert!(health.can_start(at_ms(1_000), 0));
+    assert!(!health.can_start(at_ms(1_000), 1));
     assert_eq!(health.on_success(at_ms(1_100)), HealthChange::Restored);
-    assert!(health.may_start(at_ms(1_100), 7));
+    assert!(health.can_start(at_ms(1_100), 7));
 }
 
 #[test]
@@ -59,14 +59,14 @@
 }
 
 #[test]
-fn a_failure_draws_no_more_work() {
+fn a_failure_limits_the_upstream_to_one_task() {
     let mut health = UpstreamHealth::default();
-    assert!(health.may_start(at_ms(0), 7));
+    assert!(health.can_start(at_ms(0), 7));
     assert_eq!(health.on_failure(at_ms(0)), HealthChange::Unchanged);
-    assert!(health.may_start(at_ms(0), 0));
-    assert!(!health.may_start(at_ms(0), 1));
+    assert!(health.can_start(at_ms(0), 0));
+    assert!(!health.can_start(at_ms(0), 1));
     assert_eq!(health.on_success(at_ms(0)), HealthChange::Unchanged);
-    assert!(health.may_start(at_ms(0), 7));
+    assert!(health.can_start(at_ms(0), 7));
 }
 
 #[test]
@@ -74,20 +74,20 @@
     let mut health = UpstreamHealth::default();
     for (ms, pause_ms) in [(0, 5), (10, 10), (30, 20), (100, 40)] {
         health.on_refusal(at_ms(ms));
-        assert!(!health.may_start(at_ms(ms + pause_ms - 1), 0));
-        assert!(health.may_start(at_ms(ms + pause_ms), 7));
+        assert!(!health.can_start(at_ms(ms + pause_ms - 1), 0));
+        assert!(health.can_start(at_ms(ms + pause_ms), 7));
         assert_eq!(health.state(at_ms(ms)), HealthState::Healthy);
     }
 }
 
-/// Whether each upstream's last ends were failures, with which share stays ejected.
+/// The ends of tasks on each upstream, and how many upstreams stay ejected.
 #[derive(Debug)]
 struct GateCase {
     ends: &'static [&'static str],
-    stay: usize,
+    stay_ejected: usize,
 }
 
-/// An upstream after `ends`: `+` for a success, `-` for a failure.
+/// The health of an upstream after `ends`: `+` for a success, `-` for a failure.
 fn after(ends: &str) -> UpstreamHealth {
     let mut health = UpstreamHealth::default();
     for end in ends.chars() {
@@ -107,43 +107,44 @@
     let cases = [
         GateCase {
             ends: &[BAD],
-            stay: 0,
+            stay_ejected: 0,
         },
         GateCase {
             ends: &[BAD, GOOD],
-            stay: 1,
+            stay_ejected: 1,
         },
         GateCase {
             ends: &[BAD, BAD, GOOD, GOOD],
-            stay: 2,
+            stay_ejected: 2,
         },
         GateCase {
             ends: &[BAD, BAD, BAD, GOOD, GOOD],
-            stay: 2,
+            stay_ejected: 2,
         },
         GateCase {
             ends: &[BAD, "--", "--", "--", "--", "--"],
-            stay: 0,
+            stay_ejected: 0,
         },
         GateCase {
             ends: &[MIXED, "-+--+--+-", "--+--+--", "-+--+--"],
-            stay: 0,
+            stay_ejected: 0,
         },
     ];
     for case in cases {
         let mut upstreams: Vec<UpstreamHealth> = case.ends.iter().map(|ends| after(ends)).collect();
-        let stay = EjectionGate.review(at_ms(0), upstreams.iter_mut());
+        let stay_ejected = EjectionGate.review(at_ms(0), upstreams.iter_mut());
         let ejected = upstreams.iter().filter(|upstream| upstream.is_ejected());
-        assert_eq!(ejected.count(), stay, "{case:?}");
-        assert_eq!(stay, case.stay, "{case:?}");
+        assert_eq!(ejected.count(), stay_ejected, "{case:?}");
+        assert_eq!(stay_ejected, case.stay_ejected, "{case:?}");
     }
 }
 
-/// The share of tasks that fail after five seconds, when one upstream fails all at once.
+/// The share of the tasks started after the first five seconds that fail, when one of the upstreams
+/// fails every task as soon as it starts.
 fn failed_share(upstream_count: usize, load: f64) -> f64 {
     const SLOTS: u32 = 8;
     const RUN_MS: u64 = 300;
-    let mut healths = vec![UpstreamHealth::default(); upstream_count];
+    let mut upstreams = vec![UpstreamHealth::default(); upstream_count];
     let mut ends: Vec<Vec<u64>> = vec![Vec::new(); upstream_count];
     let arrivals_per_ms = upstream_count as f64 * f64::from(SLOTS) / RUN_MS as f64 * load;
     let (mut due, mut started, mut failed) = (0.0, 0u32, 0u32);
@@ -152,7 +153,7 @@
             let before = ends[upstream].len();
             ends[upstream].retain(|end_ms| *end_ms > ms);
             for _ in ends[upstream].len()..before {
-                let _ = healths[upstream].on_success(at_ms(ms));
+                let _ = upstreams[upstream].on_success(at_ms(ms));
             }
         }
         due += arrivals_per_ms;
@@ -161,7 +162,7 @@
             let in_flight = |index: &usize| ends[*index].len() as u32;
             let chosen = (0..upstream_count)
                 .filter(|index| in_flight(index) < SLOTS)
-                .filter(|index| healths[*index].may_start(at_ms(ms), in_flight(index)))
+                .filter(|index| upstreams[*index].can_start(at_ms(ms), in_flight(index)))
                 .min_by_key(in_flight);
             let Some(chosen) = chosen else { continue };
             started += u32::from(ms >= 5_000);
@@ -170,8 +171,8 @@
                 continue;
             }
             failed += u32::from(ms >= 5_000);
-            if healths[0].on_failure(at_ms(ms)) == HealthChange::Ejected {
-                EjectionGate.review(at_ms(ms), healths.iter_mut());
+            if upstreams[0].on_failure(at_ms(ms)) == HealthChange::Ejected {
+                EjectionGate.review(at_ms(ms), upstreams.iter_mut());
             }
         }
     }
@@ -197,11 +198,11 @@
 }
 
 #[test]
-fn slow_upstreams_keep_a_trickle() {
+fn slow_upstreams_keep_few_slots() {
     let peers = [1_000, 1_000, 1_200, 9_000].map(|latency_us| latency(latency_us, 20));
     let median_us = median_latency_us(peers.iter());
     assert_eq!(median_us, Some(1_000));
-    // Own latency in microseconds, samples, slots, and the slots left.
+    // Own latency in microseconds, samples, slots, and the effective slots.
     let cases = [
         (1_900, 20, 8, 8),
         (4_000, 20, 8, 2),
