--- a/lib/src/run_estimate.rs
+++ b/lib/src/run_estimate.rs
@@ -1,4 +1,4 @@
-//! Estimates of run times from what was measured, with declared figures distrusted.
+//! Estimates of run times from measured ones and, as far as they prove accurate, declared ones.
 
 use std::time::Duration;
 
@@ -7,91 +7,97 @@
 use crate::run_histogram::RunHistogram;
 use crate::running_mean::RunningMean;
 
-/// The estimate before anything was measured or declared.
+/// The estimate while no run time was measured or declared.
 pub const DEFAULT_RUN: Duration = Duration::from_millis(300);
 
-/// The shortest run time that is believed without measurement.
-const MIN_DECLARED: Duration = Duration::from_millis(10);
+/// The lower bound on a declared run time while none was measured.
+const MIN_DECLARED_RUN: Duration = Duration::from_millis(10);
 
-/// The longest run time that is believed without measurement.
-const MAX_DECLARED: Duration = Duration::from_secs(5);
+/// The upper bound on a declared run time while none was measured.
+const MAX_DECLARED_RUN: Duration = Duration::from_secs(5);
 
-/// The high run time over the mean before anything was measured.
+/// The ratio of the high run time to the mean while no run time was measured.
 const DEFAULT_HIGH_FACTOR: f64 = 3.0;
 
-/// The share of tasks that run no longer than the high run time.
-const HIGH_SHARE: f64 = 0.99;
+/// The quantile of run times that is the high run time.
+const HIGH_QUANTILE: f64 = 0.99;
 
-/// The number of tasks of which one is expected to exceed the high run time.
-const TASKS_WITH_A_HIGH_RUN: f64 = 100.0;
+/// The number of tasks among which one is expected to exceed the high run time.
+const TASKS_PER_HIGH_RUN: f64 = 100.0;
 
-/// The declared tasks from which declared figures are weighed in.
+/// The number of finished tasks with a declared run time from which declarations count.
 const MIN_DECLARED_SAMPLES: u64 = 16;
 
-/// The longest estimate.
+/// The upper bound on an estimate.
 const MAX_ESTIMATE: Duration = Duration::from_secs(3_600);
 
-/// The shortest run time told apart.
+/// The resolution of run times: shorter ones count as this.
 const MIN_RUN: Duration = Duration::from_micros(100);
 
-/// How long a task is expected to run.
+/// The expected run time of a task.
 #[value]
 #[derive(Copy)]
 pub struct RunEstimateReading {
     /// The expected run time.
     pub mean: Duration,
-    /// A run time that few tasks exceed.
+    /// The run time that about one task in a hundred exceeds.
     pub high: Duration,
-    /// How many run times were measured.
+    /// The number of run times that were measured.
     pub samples: u64,
 }
 
 impl RunEstimateReading {
-    /// A run time that the longest of `tasks` rarely exceeds.
+    /// A run time that the longest of `tasks` tasks rarely exceeds.
     ///
-    /// It is the high run time, and grows with the logarithm of the number of tasks.
+    /// It is the high run time for up to a hundred tasks, and grows with the logarithm of their
+    /// number beyond.
     pub fn longest_of(&self, tasks: u32) -> Duration {
-        let share = f64::from(tasks.max(1)).ln() / TASKS_WITH_A_HIGH_RUN.ln();
+        let share = f64::from(tasks.max(1)).ln() / TASKS_PER_HIGH_RUN.ln();
         self.high.mul_f64(share.max(1.0))
     }
 }
 
-/// The run times of one service's tasks, in bounded memory.
+/// Statistics of the run times of one service's tasks, in bounded memory.
 ///
-/// A declared run time is corrected by how far the declared ones were off so far, and weighs as
-/// much as it narrows the spread of run times: one that says nothing about them weighs nothing.
+/// A declared run time is corrected by the mean error of earlier declarations. Its weight is the
+/// variance of run times relative to the variance of the declarations' errors, so declarations that
+/// err widely get little weight.
 #[derive(Clone, Debug, Default)]
 pub struct RunEstimate {
-    run_s: RunningMean,
-    run_log: RunningMean,
-    declared_run_s: RunningMean,
-    declared_s: RunningMean,
+    run_time_s: RunningMean,
+    run_time_log: RunningMean,
+    /// The run times of the tasks with a declared one.
+    run_time_of_declared_s: RunningMean,
+    declared_run_time_s: RunningMean,
+    /// The logarithm of the run time over the declared one.
     declared_error_log: RunningMean,
     histogram: RunHistogram,
 }
 
 impl RunEstimate {
-    /// Counts the run time of a task that finished.
-    pub fn record(&mut self, run: Duration) {
-        self.run_s.record(run.as_secs_f64());
-        self.run_log.record(log_of(run));
-        self.histogram.record(run);
+    /// Records the run time of a finished task.
+    pub fn record(&mut self, run_time: Duration) {
+        self.run_time_s.record(run_time.as_secs_f64());
+        self.run_time_log.record(log_of(run_time));
+        self.histogram.record(run_time);
     }
 
-    /// Counts the run time of a finished task whose submission declared `declared`.
-    pub fn record_declared(&mut self, declared: Duration, run: Duration) {
-        self.record(run);
-        self.declared_run_s.record(run.as_secs_f64());
-        self.declared_s.record(declared.as_secs_f64());
-        let error_log = log_of(run) - log_of(declared);
+    /// Records the run time of a finished task whose submission declared `declared`.
+    pub fn record_declared(&mut self, declared: Duration, run_time: Duration) {
+        self.record(run_time);
+        self.run_time_of_declared_s.record(run_time.as_secs_f64());
+        self.declared_run_time_s.record(declared.as_secs_f64());
+        let error_log = log_of(run_time) - log_of(declared);
         self.declared_error_log.record(error_log);
     }
 
     /// The estimate for a task whose submission declares `declared`.
     pub fn reading(&self, declared: Option<Duration>) -> RunEstimateReading {
-        let samples = self.run_s.samples();
+        let samples = self.run_time_s.samples();
         if samples == 0 {
-            let mean = declared.map_or(DEFAULT_RUN, |run| run.clamp(MIN_DECLARED, MAX_DECLARED));
+            let mean = declared.map_or(DEFAULT_RUN, |run_time| {
+                run_time.clamp(MIN_DECLARED_RUN, MAX_DECLARED_RUN)
+            });
             let high = mean.mul_f64(DEFAULT_HIGH_FACTOR);
             return RunEstimateReading {
                 mean,
@@ -99,10 +105,10 @@
                 samples,
             };
         }
-        let mean = Duration::from_secs_f64(self.run_s.mean());
-        let estimate = declared.map_or(mean, |declared| self.weighed(mean, declared));
+        let mean = Duration::from_secs_f64(self.run_time_s.mean());
+        let estimate = declared.map_or(mean, |declared| self.weighted(mean, declared));
         let scale = log_of(estimate) - log_of(mean);
-        let high = self.histogram.quantile(HIGH_SHARE).mul_f64(scale.exp());
+        let high = self.histogram.quantile(HIGH_QUANTILE).mul_f64(scale.exp());
         RunEstimateReading {
             mean: estimate,
             high: high.max(estimate),
@@ -110,23 +116,26 @@
         }
     }
 
-    /// The measured mean and the corrected declared run time, weighed by their spread.
-    fn weighed(&self, mean: Duration, declared: Duration) -> Duration {
-        if self.declared_s.samples() < MIN_DECLARED_SAMPLES || self.declared_s.mean() <= 0.0 {
+    /// The weighted mean of the measured mean and the corrected declared run time, in logarithms.
+    fn weighted(&self, mean: Duration, declared: Duration) -> Duration {
+        if self.declared_run_time_s.samples() < MIN_DECLARED_SAMPLES
+            || self.declared_run_time_s.mean() <= 0.0
+        {
             return mean;
         }
-        let run_spread = self.run_log.variance();
-        let error_spread = self.declared_error_log.variance();
-        let weight = run_spread / (run_spread + error_spread).max(f64::MIN_POSITIVE);
-        let correction = self.declared_run_s.mean() / self.declared_s.mean();
+        let run_time_variance = self.run_time_log.variance();
+        let error_variance = self.declared_error_log.variance();
+        let weight =
+            run_time_variance / (run_time_variance + error_variance).max(f64::MIN_POSITIVE);
+        let correction = self.run_time_of_declared_s.mean() / self.declared_run_time_s.mean();
         let corrected_log = log_of(declared) + correction.max(f64::MIN_POSITIVE).ln();
-        let weighed_log = weight * corrected_log + (1.0 - weight) * log_of(mean);
-        let weighed = Duration::from_secs_f64(weighed_log.exp().min(MAX_ESTIMATE.as_secs_f64()));
-        weighed.max(MIN_RUN)
+        let weighted_log = weight * corrected_log + (1.0 - weight) * log_of(mean);
+        let weighted = Duration::from_secs_f64(weighted_log.exp().min(MAX_ESTIMATE.as_secs_f64()));
+        weighted.max(MIN_RUN)
     }
 }
 
 /// The natural logarithm of a run time in seconds.
-fn log_of(run: Duration) -> f64 {
-    run.max(MIN_RUN).as_secs_f64().ln()
+fn log_of(run_time: Duration) -> f64 {
+    run_time.max(MIN_RUN).as_secs_f64().ln()
 }
--- a/lib/src/run_histogram.rs
+++ b/lib/src/run_histogram.rs
@@ -1,20 +1,20 @@
-//! A small histogram of run times that forgets.
+//! A histogram of recent run times in bounded memory.
 
 use std::time::Duration;
 
-/// The buckets to each doubling of the run time.
+/// The number of buckets for each doubling of the run time.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
 
-/// The run time below which all count as one.
-const FIRST_BUCKET: Duration = Duration::from_millis(1);
+/// The upper bound of the first bucket.
+const FIRST_BUCKET_BOUND: Duration = Duration::from_millis(1);
 
-/// The buckets, which reach to above a minute.
+/// The number of buckets; the last one begins above a minute.
 const BUCKETS: usize = 68;
 
-/// The count at which all buckets are halved.
-const FORGET_AT: f32 = 4_096.0;
+/// The total count at which all buckets are halved.
+const HALVING_TOTAL: f32 = 4_096.0;
 
-/// Run times in buckets of a logarithmic scale; old ones fade as new ones come.
+/// Counts of run times in buckets of a logarithmic scale, with exponential decay of old ones.
 #[derive(Clone, Debug)]
 pub(crate) struct RunHistogram {
     counts: [f32; BUCKETS],
@@ -31,11 +31,11 @@
 }
 
 impl RunHistogram {
-    /// Counts a run time.
-    pub(crate) fn record(&mut self, run: Duration) {
-        self.counts[bucket_of(run)] += 1.0;
+    /// Records a run time.
+    pub(crate) fn record(&mut self, run_time: Duration) {
+        self.counts[bucket_of(run_time)] += 1.0;
         self.total += 1.0;
-        if self.total >= FORGET_AT {
+        if self.total >= HALVING_TOTAL {
             for count in &mut self.counts {
                 *count /= 2.0;
             }
@@ -43,13 +43,14 @@
         }
     }
 
-    /// A run time that `share` of the tasks do not exceed, zero when nothing was recorded.
+    /// The run time that a `share` of the tasks between zero and one does not exceed; zero when
+    /// nothing was recorded.
     pub(crate) fn quantile(&self, share: f64) -> Duration {
-        let wanted = f64::from(self.total) * share;
-        let mut seen = 0.0;
+        let target_count = f64::from(self.total) * share;
+        let mut count_so_far = 0.0;
         for (bucket, count) in self.counts.iter().enumerate() {
-            seen += f64::from(*count);
-            if *count > 0.0 && seen >= wanted {
+            count_so_far += f64::from(*count);
+            if *count > 0.0 && count_so_far >= target_count {
                 return upper_bound(bucket);
             }
         }
@@ -57,8 +58,8 @@
     }
 }
 
-fn bucket_of(run: Duration) -> usize {
-    let doublings = (run.as_secs_f64() / FIRST_BUCKET.as_secs_f64())
+fn bucket_of(run_time: Duration) -> usize {
+    let doublings = (run_time.as_secs_f64() / FIRST_BUCKET_BOUND.as_secs_f64())
         .max(1.0)
         .log2();
     let bucket = (doublings * BUCKETS_PER_DOUBLING).ceil() as usize;
@@ -66,5 +67,5 @@
 }
 
 fn upper_bound(bucket: usize) -> Duration {
-    FIRST_BUCKET.mul_f64((bucket as f64 / BUCKETS_PER_DOUBLING).exp2())
+    FIRST_BUCKET_BOUND.mul_f64((bucket as f64 / BUCKETS_PER_DOUBLING).exp2())
 }
