--- a/lib/src/peer_codec.rs
+++ b/lib/src/peer_codec.rs
@@ -1,7 +1,7 @@
-//! Conversion between peer messages and the types generated for the wire.
+//! Conversion between peer messages and their generated protobuf types.
 //!
-//! Decoding is strict: a missing part, an unspecified value or a list past its bound is an error
-//! that names the field, and no part of the message is taken.
+//! Decoding is strict: a missing part, an unspecified enum value or a list over its bound fails the
+//! whole message with an error that names the field.
 
 mod address;
 mod batch;
--- a/lib/src/peer_codec/outcome.rs
+++ b/lib/src/peer_codec/outcome.rs
@@ -1,4 +1,4 @@
-//! Answers, and ends of attempts, on the wire.
+//! Wire encoding of answers and of the ends of attempts.
 
 use std::time::Duration;
 
@@ -16,7 +16,8 @@
 use crate::peer_proto::request_answer::Answer;
 use crate::peer_proto::task_end::End;
 
-/// Converts an enumeration both ways, by variants of the same name.
+/// Implements the conversion between an enum and the generated enum of the same name, whose
+/// variants have the same names too.
 macro_rules! same_variants {
     ($field:literal, $name:ident { $($variant:ident),+ $(,)? }) => {
         impl From<$name> for proto::$name {
--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -1,4 +1,4 @@
-//! Messages about leased runs on the wire.
+//! Wire encoding of messages about leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -127,7 +127,7 @@
             highest_sent: report.highest_sent,
         }),
         Kind::CancelJob(cancel) => RunMessage::CancelJob {
-            job: job("cancel_job.job", &cancel.job)?,
+            job: decode_job_id("cancel_job.job", &cancel.job)?,
         },
         Kind::IntendedRequest(request) => RunMessage::IntendedRequest {
             have_version: request.have_version,
@@ -140,7 +140,7 @@
     Ok(message)
 }
 
-/// A list of at most `max_items`, each decoded.
+/// Decodes a list of at most `max_items` items.
 fn decode_list<P, T>(
     field: &'static str,
     list: Vec<P>,
@@ -153,7 +153,7 @@
     list.into_iter().map(TryInto::try_into).collect()
 }
 
-fn job(field: &'static str, text: &str) -> Result<JobId, DecodeError> {
+fn decode_job_id(field: &'static str, text: &str) -> Result<JobId, DecodeError> {
     JobId::parse(text).ok_or(DecodeError::OutOfRange { field })
 }
 
@@ -180,7 +180,7 @@
     fn try_from(batch: proto::RunBatch) -> Result<Self, DecodeError> {
         Ok(RunBatch {
             number: batch.number,
-            job: job("run_batch.job", &batch.job)?,
+            job: decode_job_id("run_batch.job", &batch.job)?,
             service: name("run_batch.service", batch.service)?,
             spec: Arc::from(batch.spec),
             priority: batch.priority,
@@ -270,7 +270,7 @@
     fn try_from(run: proto::RunId) -> Result<Self, DecodeError> {
         Ok(RunId {
             task: TaskName {
-                job: job("run.job", &run.job)?,
+                job: decode_job_id("run.job", &run.job)?,
                 occurrence: run.occurrence,
                 step: run.step,
                 index: run.index,
@@ -337,7 +337,7 @@
             End::FailedOn(upstream) => RunEnd::Failed {
                 upstream: name("ends.failed_on", upstream)?,
             },
-            End::NotStarted(number) => RunEnd::NotStarted(not_started(number)?),
+            End::NotStarted(number) => RunEnd::NotStarted(decode_not_started(number)?),
             End::LostOn(upstream) => RunEnd::Lost {
                 upstream: name("ends.lost_on", upstream)?,
             },
@@ -371,7 +371,7 @@
     }
 }
 
-fn not_started(number: i32) -> Result<NotStarted, DecodeError> {
+fn decode_not_started(number: i32) -> Result<NotStarted, DecodeError> {
     let unknown = DecodeError::UnknownValue {
         field: "ends.not_started",
         number,
--- a/lib/src/peer_envelope.rs
+++ b/lib/src/peer_envelope.rs
@@ -1,6 +1,6 @@
-//! Peer messages as bytes, authenticated under the firm's shared key.
+//! Peer messages as bytes that are authenticated with the firm's shared key.
 //!
-//! An envelope is a tag of 32 bytes, the HMAC-SHA256 of all that follows it, and then the
+//! An envelope is a tag of 32 bytes, the HMAC-SHA256 of everything after it, followed by the
 //! protobuf encoding of the sender and the message. Nothing is parsed before the tag is verified.
 
 use std::sync::Arc;
@@ -24,19 +24,19 @@
 use crate::peer_message::PeerMessage;
 use crate::peer_proto as proto;
 
-/// The largest envelope in bytes, tag included.
+/// The maximum size of an envelope in bytes, including the tag.
 pub const MAX_ENVELOPE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A message with its sender.
 #[value]
 pub struct Envelope {
-    /// Who sends it.
+    /// The sending instance.
     pub sender: PeerIdentity,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// Seals envelopes for siblings and opens theirs.
+/// Encodes and authenticates envelopes to siblings, and verifies and decodes those from them.
 #[derive(Clone, Debug)]
 pub struct EnvelopeSealer {
     authenticator: Authenticator,
@@ -46,10 +46,12 @@
 #[value]
 #[derive(Display, Error)]
 pub enum SealError {
-    /// The message does not fit an envelope.
-    #[display("peer message of {envelope_bytes} bytes exceeds {MAX_ENVELOPE_BYTES}")]
+    /// The envelope would exceed [`MAX_ENVELOPE_BYTES`].
+    #[display(
+        "peer message needs an envelope of {envelope_bytes} bytes, more than {MAX_ENVELOPE_BYTES}"
+    )]
     TooLarge {
-        /// The size that it would have.
+        /// The size that it would have, including the tag.
         envelope_bytes: usize,
     },
 }
@@ -58,30 +60,30 @@
 #[value]
 #[derive(Display, Error, From)]
 pub enum OpenError {
-    /// It is larger than any envelope.
-    #[display("envelope of {envelope_bytes} bytes exceeds {MAX_ENVELOPE_BYTES}")]
+    /// It exceeds [`MAX_ENVELOPE_BYTES`].
+    #[display("envelope of {envelope_bytes} bytes is larger than {MAX_ENVELOPE_BYTES}")]
     #[from(skip)]
     TooLarge {
         /// Its size.
         envelope_bytes: usize,
     },
-    /// It was not sealed under the firm's key.
-    #[display("envelope is not of this firm")]
+    /// Its tag is missing or does not verify under the key.
+    #[display("envelope is not authenticated with this firm's key")]
     NotAuthentic,
-    /// It is authentic, and its message is not valid.
-    #[display("envelope holds no valid message: {_0}")]
+    /// It is authentic, but its content is not valid.
+    #[display("envelope is authentic, but its content is not valid: {_0}")]
     Invalid(DecodeError),
 }
 
 impl EnvelopeSealer {
-    /// A sealer under the firm's shared `key`.
+    /// A sealer that uses the firm's shared `key`.
     pub fn new(key: &[u8]) -> Self {
         EnvelopeSealer {
             authenticator: Authenticator::new(key, Purpose::PeerEnvelope),
         }
     }
 
-    /// The bytes of an envelope.
+    /// Encodes an envelope.
     ///
     /// # Errors
     ///
@@ -104,11 +106,11 @@
         Ok(bytes.freeze())
     }
 
-    /// The envelope in `bytes`, whose inputs and bodies share their memory.
+    /// Verifies and decodes an envelope. Inputs and bodies in it share the memory of `bytes`.
     ///
     /// # Errors
     ///
-    /// [`OpenError`] when the bytes are not an envelope sealed under this key.
+    /// [`OpenError`] when the bytes are not a valid envelope sealed under this key.
     pub fn open(&self, mut bytes: Bytes) -> Result<Envelope, OpenError> {
         let envelope_bytes = bytes.len();
         if envelope_bytes > MAX_ENVELOPE_BYTES {
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,11 +1,12 @@
-//! Time as the core sees it: a value that comes in with each event.
+//! Time in the core: a value that is passed in with each event.
 
 use std::ops::Add;
 use std::time::Duration;
 
 use almondhead_macros::key;
 
-/// A point on the monotonic clock of one entry process, in microseconds since its start.
+/// A point in time on the monotonic clock of one entry process, in microseconds since the process
+/// started.
 #[key]
 #[derive(Default)]
 pub struct Timestamp {
@@ -16,7 +17,7 @@
     /// The start of the process.
     pub const ZERO: Timestamp = Timestamp { us: 0 };
 
-    /// A point `us` microseconds after the start of the process.
+    /// The point `us` microseconds after the start of the process.
     pub const fn from_us(us: u64) -> Self {
         Timestamp { us }
     }
--- a/lib/src/timer.rs
+++ b/lib/src/timer.rs
@@ -1,4 +1,5 @@
-//! A timer service: parts subscribe to points in time and are told when they have come.
+//! A timer service without a clock: components subscribe to points in time and poll for those
+//! that are due.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +7,14 @@
 
 use crate::time::Timestamp;
 
-/// One subscription, for taking it back.
+/// Identifies one subscription, for cancelling it.
 #[key]
 pub struct TimerKey {
     at: Timestamp,
     number: u64,
 }
 
-/// Subscriptions to points in time, each with the value that its part gave.
+/// Subscriptions to points in time, each with a value of the subscriber.
 #[derive(Debug)]
 pub struct TimerService<T> {
     next_number: u64,
@@ -30,7 +31,8 @@
 }
 
 impl<T> TimerService<T> {
-    /// Subscribes to the point `at`; equal points come in the order of subscription.
+    /// Subscribes to the time `at`; subscriptions to equal times become due in the order in which
+    /// they were made.
     pub fn subscribe(&mut self, at: Timestamp, value: T) -> TimerKey {
         let key = TimerKey {
             at,
@@ -41,17 +43,17 @@
         key
     }
 
-    /// Takes a subscription back; one that has come already is ignored.
+    /// Cancels a subscription; does nothing when it was already removed.
     pub fn cancel(&mut self, key: TimerKey) {
         self.subscriptions.remove(&key);
     }
 
-    /// The earliest point that is subscribed to.
+    /// The time of the earliest subscription.
     pub fn next_at(&self) -> Option<Timestamp> {
         self.subscriptions.keys().next().map(|key| key.at)
     }
 
-    /// Removes and gives the earliest subscription whose point has come.
+    /// Removes the earliest subscription that is due and returns its value.
     pub fn pop_due(&mut self, now: Timestamp) -> Option<T> {
         let entry = self.subscriptions.first_entry()?;
         if entry.key().at > now {
--- a/lib/tests/common/any_message.rs
+++ b/lib/tests/common/any_message.rs
@@ -1,4 +1,4 @@
-//! Arbitrary peer messages of every kind.
+//! Arbitrary peer messages of every kind except leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 use quickcheck::Arbitrary;
 use quickcheck::Gen;
 
-/// The kinds of [`PeerMessage`].
+/// The number of kinds of [`PeerMessage`] that [`message_of_kind`] generates.
 pub(crate) const KINDS: usize = 10;
 
 /// An arbitrary message of the kind with this number, below [`KINDS`].
@@ -89,7 +89,7 @@
     Arc::from(characters.chars().take(100).collect::<String>())
 }
 
-fn span(g: &mut Gen) -> Duration {
+fn duration(g: &mut Gen) -> Duration {
     Duration::from_micros(u64::arbitrary(g))
 }
 
@@ -127,10 +127,10 @@
     Submission {
         service: text(g),
         team: text(g),
-        timeout: optional(g, span),
+        timeout: optional(g, duration),
         idempotent: bool::arbitrary(g),
         needs: needs(g),
-        declared_run_time: optional(g, span),
+        declared_run_time: optional(g, duration),
         inputs: list(g, bytes),
         traceparent: optional(g, text),
     }
@@ -161,12 +161,12 @@
         },
         1 => JobAnswer::NotRun {
             reason: *g.choose(NOT_RUN).unwrap(),
-            retry_after: optional(g, span),
+            retry_after: optional(g, duration),
         },
         _ => JobAnswer::Failed {
             reason: *g.choose(FAILED).unwrap(),
             task: optional(g, u32::arbitrary),
-            retry_after: optional(g, span),
+            retry_after: optional(g, duration),
         },
     }
 }
@@ -177,7 +177,7 @@
         receiver: incarnation(g),
         service: text(g),
         team: text(g),
-        time_left: span(g),
+        time_left: duration(g),
         needs: needs(g),
         remaining: u32::arbitrary(g),
         tasks: list(g, batch_task),
--- a/lib/tests/common/mod.rs
+++ b/lib/tests/common/mod.rs
@@ -1,3 +1,3 @@
-//! Values that several test files draw.
+//! Generators of random values for several test files.
 
 pub(crate) mod any_message;
--- a/lib/tests/peer_codec.rs
+++ b/lib/tests/peer_codec.rs
@@ -1,4 +1,4 @@
-//! Peer messages as generated types, as bytes and as noise.
+//! Peer messages: round trips through the wire encoding, bounds, authentication and corrupt input.
 
 mod common;
 
@@ -32,9 +32,9 @@
 
 const KEY: &[u8] = b"a key of the firm, 32 bytes long";
 const SEED: u64 = 0x5eed;
-const NOISE_ROUNDS: usize = 20_000;
+const CORRUPTION_ROUNDS: usize = 20_000;
 
-/// An arbitrary message, as quickcheck draws it.
+/// An arbitrary peer message for quickcheck.
 #[derive(Clone, Debug)]
 struct AnyMessage(PeerMessage);
 
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn faults_name_field() {
+fn decode_errors_name_the_field() {
     use proto::task_end::End;
     let batch = proto::TaskBatch::default();
     let forward = proto::ForwardRequest::default();
@@ -200,7 +200,7 @@
     let sealer = EnvelopeSealer::new(KEY);
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut g = Gen::from_size_and_seed(20, SEED);
-    for round in 0..NOISE_ROUNDS / 10 {
+    for round in 0..CORRUPTION_ROUNDS / 10 {
         let message = message_of_kind(&mut g, round % KINDS);
         let mut bytes = sealer.seal(&envelope(message)).unwrap().to_vec();
         let at = rng.random_range(0..bytes.len());
@@ -214,10 +214,10 @@
 }
 
 #[test]
-fn noise_decodes_or_fails() {
+fn random_bytes_decode_or_fail() {
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut g = Gen::from_size_and_seed(20, SEED);
-    for round in 0..NOISE_ROUNDS {
+    for round in 0..CORRUPTION_ROUNDS {
         let message = message_of_kind(&mut g, round % KINDS);
         let mut bytes = proto::PeerMessage::from(message).encode_to_vec();
         for _ in 0..rng.random_range(1..4) {
@@ -228,15 +228,16 @@
                 _ => bytes.insert(at, rng.random()),
             }
         }
-        decode_noise(bytes);
-        let mut noise = vec![0; rng.random_range(0..64)];
-        rng.fill(&mut noise[..]);
-        decode_noise(noise);
+        decode_any_bytes(bytes);
+        let mut random_bytes = vec![0; rng.random_range(0..64)];
+        rng.fill(&mut random_bytes[..]);
+        decode_any_bytes(random_bytes);
     }
 }
 
-/// Decodes bytes of any kind; what is taken encodes again to no more than it came from.
-fn decode_noise(bytes: Vec<u8>) {
+/// Decodes arbitrary bytes; a message that is accepted encodes to about as many bytes at most, and
+/// decodes to itself.
+fn decode_any_bytes(bytes: Vec<u8>) {
     let length = bytes.len();
     let Ok(decoded) = proto::PeerMessage::decode(Bytes::from(bytes)) else {
         return;
