--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -216,7 +216,7 @@
         incarnation: identity.incarnation,
         limits: RunLimits {
             lease: Duration::from_millis(leased.lease_ms),
-            open_jobs: settings.limits.jobs,
+            max_open_jobs: settings.limits.jobs,
             ..RunLimits::default()
         },
     }
--- a/lib/src/runs.rs
+++ b/lib/src/runs.rs
@@ -1,8 +1,9 @@
-//! Jobs whose tasks upstreams run under leases: each run is started, held and stopped by order.
+//! Dispatch of jobs whose tasks run on upstreams under leases.
 //!
-//! The home of a job answers its caller and places its tasks; the owner of an upstream, one
-//! instance at a time, gives the orders and takes in the ends. [`run_dispatcher::RunDispatcher`]
-//! is both.
+//! The home of a job is the instance that accepted it: it answers the caller and places the job's
+//! tasks with owners. The owner of an upstream, one instance at a time, sends it the orders that
+//! start and stop runs and renew their leases, and reports to the homes how runs ended.
+//! [`run_dispatcher::RunDispatcher`] has both roles.
 
 mod admitting;
 mod assignment;
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -41,7 +41,7 @@
         if self.home.join(request, id) {
             return None;
         }
-        if self.home.jobs.len() >= self.settings.limits.open_jobs {
+        if self.home.jobs.len() >= self.settings.limits.max_open_jobs {
             return Some(not_run(NotRun::TooManyJobs, Some(MIN_RETRY_AFTER)));
         }
         let queue = target.queue;
--- a/lib/src/runs/assignment.rs
+++ b/lib/src/runs/assignment.rs
@@ -1,4 +1,4 @@
-//! Which upstreams an instance is to own.
+//! Assignment of upstreams to the instances that own them.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use super::upstream_listing::UpstreamListing;
 use crate::ownership::rendezvous_owner;
 
-/// The upstreams that `instance` is to own by this roster.
+/// The listed upstreams that are assigned to `instance`.
 ///
-/// Those of a data centre belong to its own instances; where it has none, to those of all others.
-/// The owner of an upstream follows from the roster alone: instances whose lists of upstreams
-/// differ for a moment name the same owner, so that the roster's version can fence ownership.
+/// The upstreams of a data centre are assigned to its own instances or, if it has none, to those
+/// of all other data centres. The owner of an upstream depends on the roster alone: instances
+/// whose listings differ temporarily agree on it, so the roster's version can fence ownership.
 pub(crate) fn assigned_to(
     instance: &str,
     roster: &Roster,
@@ -24,7 +24,7 @@
     assigned.map(|(upstream, _)| upstream.clone()).collect()
 }
 
-/// The listed upstreams, each with the instance that is to own it.
+/// The listed upstreams, each with the instance that it is assigned to.
 pub(crate) fn with_owners<'a>(
     roster: &'a Roster,
     listing: &'a UpstreamListing,
@@ -34,13 +34,13 @@
         let data_centre: &str = &upstream.data_centre;
         let owners = owners
             .entry(data_centre)
-            .or_insert_with(|| owners_of(data_centre, roster));
+            .or_insert_with(|| candidate_owners(data_centre, roster));
         let owner = rendezvous_owner(&upstream.id, owners);
         (upstream, owner.map(|owner| owners[owner]))
     })
 }
 
-fn owners_of<'a>(data_centre: &str, roster: &'a Roster) -> Vec<&'a str> {
+fn candidate_owners<'a>(data_centre: &str, roster: &'a Roster) -> Vec<&'a str> {
     let staying = || roster.members.iter().filter(|member| !member.leaving);
     let near = staying().filter(|member| &*member.data_centre == data_centre);
     let mut owners: Vec<&str> = near.map(name).collect();
--- a/lib/src/runs/peer_table.rs
+++ b/lib/src/runs/peer_table.rs
@@ -1,4 +1,4 @@
-//! What this instance knows of the others.
+//! The other instances: incarnations, clocks, reachability and load.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,38 +16,38 @@
 use crate::id::Incarnation;
 use crate::time::Timestamp;
 
-/// How long an instance may say nothing before it counts as out of reach: four heartbeats.
+/// How long after its last fresh message an instance counts as unreachable: four heartbeats.
 pub(crate) const PEER_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How old a message may be that acts on the present.
+/// The maximum age of a fresh message.
 ///
-/// Messages take milliseconds; one held up by a cut or a frozen receiver must not start anything
-/// that its sender may have given up.
-pub(crate) const FRESH: Duration = Duration::from_millis(300);
+/// Messages take milliseconds. One that a network partition or a frozen receiver delayed must not
+/// start anything that its sender may have given up since.
+pub(crate) const MAX_MESSAGE_AGE: Duration = Duration::from_millis(300);
 
-/// How long an instance is remembered that the roster lists no more.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// How long an instance is remembered after it has vanished from the roster.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// The most ended runs of a process that are remembered.
-const MAX_PAST_RUNS: usize = 8;
+/// The maximum number of ended incarnations that are remembered for an instance.
+const MAX_ENDED_INCARNATIONS: usize = 8;
 
-/// Another instance.
+/// What is known of another instance.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) name: Arc<str>,
     pub(crate) data_centre: Arc<str>,
     pub(crate) incarnation: Incarnation,
     pub(crate) address: SocketAddr,
-    /// Since when the roster does not list it.
+    /// Since when the roster has not listed it.
     unlisted_since: Option<Timestamp>,
     pub(crate) is_leaving: bool,
-    /// Its clock, and when that reading arrived.
+    /// The latest reading of its clock, and the time of arrival on the own clock.
     clock: Option<(Timestamp, Timestamp)>,
-    /// When a fresh message of it came last.
+    /// When its last fresh message arrived; `None` before the first one and once it is unreachable.
     pub(crate) last_contact_at: Option<Timestamp>,
     pub(crate) digest: RunDigest,
-    /// The last runs of its process that have ended.
-    past: Vec<Incarnation>,
+    /// Its latest incarnations that have ended.
+    ended_incarnations: Vec<Incarnation>,
 }
 
 impl Peer {
@@ -62,15 +62,15 @@
             clock: None,
             last_contact_at: None,
             digest: RunDigest::default(),
-            past: Vec::new(),
+            ended_incarnations: Vec::new(),
         }
     }
 
-    /// Begins anew with another run of the process.
-    fn restart(&mut self, incarnation: Incarnation) {
-        self.past.push(self.incarnation);
-        if self.past.len() > MAX_PAST_RUNS {
-            self.past.remove(0);
+    /// Resets the state for another incarnation.
+    fn begin_incarnation(&mut self, incarnation: Incarnation) {
+        self.ended_incarnations.push(self.incarnation);
+        if self.ended_incarnations.len() > MAX_ENDED_INCARNATIONS {
+            self.ended_incarnations.remove(0);
         }
         self.incarnation = incarnation;
         self.clock = None;
@@ -78,28 +78,28 @@
         self.digest = RunDigest::default();
     }
 
-    /// Whether this run of its process has ended.
-    fn is_past(&self, incarnation: Incarnation) -> bool {
-        self.past.contains(&incarnation)
+    /// Whether this incarnation is known to have ended.
+    fn has_ended(&self, incarnation: Incarnation) -> bool {
+        self.ended_incarnations.contains(&incarnation)
     }
 
-    /// Whether a fresh message came lately.
+    /// Whether a fresh message arrived recently.
     pub(crate) fn is_reachable(&self, now: Timestamp) -> bool {
         self.last_contact_at
             .is_some_and(|at| now.since(at) < PEER_TIMEOUT)
     }
 
-    /// Whether it speaks although the roster lists it no more.
-    pub(crate) fn is_back(&self, now: Timestamp) -> bool {
+    /// Whether it sends messages although the roster does not list it.
+    pub(crate) fn is_reachable_unlisted(&self, now: Timestamp) -> bool {
         self.unlisted_since.is_some() && self.is_reachable(now)
     }
 
-    /// What its clock shows now, as far as its messages tell.
-    pub(crate) fn echo(&self, now: Timestamp) -> Option<Timestamp> {
+    /// The estimate of its clock's present reading; `None` before its first message.
+    pub(crate) fn clock_estimate(&self, now: Timestamp) -> Option<Timestamp> {
         self.clock.map(|(theirs, at)| theirs + now.since(at))
     }
 
-    /// Its load of a service, when it takes work.
+    /// Its load of a service; `None` when it is leaving or unreachable or does not serve it.
     pub(crate) fn load(&self, now: Timestamp, service: &str) -> Option<&RunLoad> {
         if self.is_leaving || self.digest.leaving || !self.is_reachable(now) {
             return None;
@@ -109,12 +109,12 @@
     }
 }
 
-/// Whether a message acts on the present.
+/// Whether a message is recent enough to start something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Freshness {
-    /// It came at once.
+    /// It was in flight for no longer than allowed.
     Fresh,
-    /// It was too long under way, or how long cannot be told.
+    /// It was in flight for too long, or for an unknown time.
     Stale,
 }
 
@@ -131,14 +131,15 @@
         self.by_name.get(name).copied()
     }
 
-    /// The instance of this run.
+    /// The instance that this incarnation belongs to.
     pub(crate) fn by_incarnation(&self, incarnation: Incarnation) -> Option<PeerKey> {
         let mut peers = self.peers.iter();
         let found = peers.find(|(_, peer)| peer.incarnation == incarnation);
         found.map(|(key, _)| key)
     }
 
-    /// Takes over the roster; gives the instances that are another run now or are gone.
+    /// Updates the table from a roster; returns the instances that have a new incarnation, with the
+    /// one that has ended.
     pub(crate) fn update(
         &mut self,
         now: Timestamp,
@@ -159,23 +160,25 @@
             peer.unlisted_since = None;
             peer.is_leaving = member.leaving;
             peer.address = member.peer_address;
-            // A row may be older than the messages of the next run.
-            if peer.incarnation != member.incarnation && !peer.is_past(member.incarnation) {
+            // The row may be older than messages of a later incarnation.
+            if peer.incarnation != member.incarnation && !peer.has_ended(member.incarnation) {
                 ended.push((key, peer.incarnation));
-                peer.restart(member.incarnation);
+                peer.begin_incarnation(member.incarnation);
             }
         }
         ended
     }
 
-    /// Forgets instances that are long listed no more and say nothing; gives them.
+    /// Forgets unreachable instances that have been off the roster for long; returns them.
     ///
-    /// One that was cut off from everything may come back before it reaches the store.
-    pub(crate) fn drop_gone(&mut self, now: Timestamp) -> Vec<(PeerKey, Incarnation)> {
+    /// They are kept for a while, since one that was partitioned may be reachable again before it has
+    /// registered again at the store.
+    pub(crate) fn forget_unlisted(&mut self, now: Timestamp) -> Vec<(PeerKey, Incarnation)> {
         let gone = self.peers.iter();
         let gone = gone.filter(|(_, peer)| {
             let unlisted = peer.unlisted_since;
-            unlisted.is_some_and(|at| now.since(at) >= REMEMBERED) && !peer.is_reachable(now)
+            unlisted.is_some_and(|at| now.since(at) >= UNLISTED_RETENTION)
+                && !peer.is_reachable(now)
         });
         let gone: Vec<(PeerKey, Incarnation)> =
             gone.map(|(key, peer)| (key, peer.incarnation)).collect();
@@ -187,10 +190,11 @@
         gone
     }
 
-    /// Notes a message; gives its sender and whether it acts on the present.
+    /// Records a message; returns its sender and its freshness, or `None` when the sender is unknown
+    /// or its incarnation has ended.
     ///
-    /// `replaced` gets the former run of the sender when this message is the first of another.
-    pub(crate) fn note_message(
+    /// `replaced` gets the sender's former incarnation when this message is the first of a new one.
+    pub(crate) fn record_message(
         &mut self,
         now: Timestamp,
         sender: &PeerIdentity,
@@ -201,14 +205,14 @@
         let key = self.by_name(&sender.instance)?;
         let peer = &mut self.peers[key];
         if peer.incarnation != sender.incarnation {
-            if peer.is_past(sender.incarnation) {
+            if peer.has_ended(sender.incarnation) {
                 return None;
             }
             *replaced = Some((key, peer.incarnation));
-            peer.restart(sender.incarnation);
+            peer.begin_incarnation(sender.incarnation);
         }
         let is_newer = peer.clock.is_none_or(|(theirs, _)| sent_at >= theirs);
-        let is_fresh = echo.is_some_and(|echo| now.since(echo) <= FRESH);
+        let is_fresh = echo.is_some_and(|echo| now.since(echo) <= MAX_MESSAGE_AGE);
         if is_newer {
             peer.clock = Some((sent_at, now));
         }
--- a/lib/src/runs/roster.rs
+++ b/lib/src/runs/roster.rs
@@ -1,4 +1,4 @@
-//! The instances that have registered, as of one version of their table.
+//! The registered instances, as of one version of the platform's roster table.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,16 +7,16 @@
 
 use crate::id::Incarnation;
 
-/// The instances that have registered.
+/// The registered instances as of one version of the roster.
 ///
-/// Whoever knows a version knows every change up to it, so ownership that follows from a newer
-/// version may be fenced by it.
+/// A version contains every change up to it. Ownership that is derived from it can therefore use
+/// the version as a fencing token against ownership derived from an older one.
 #[value]
 #[derive(Default)]
 pub struct Roster {
-    /// The version, which rises with every change of the table.
+    /// The version; it increases with every change of the table.
     pub version: u64,
-    /// The instances, by name.
+    /// The instances, ordered by name.
     pub members: Vec<Member>,
 }
 
@@ -25,15 +25,15 @@
 pub struct Member {
     /// The unique name.
     pub name: Arc<str>,
-    /// The run of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
     /// Its data centre.
     pub data_centre: Arc<str>,
-    /// Where it takes messages.
+    /// The address at which it accepts messages from other instances.
     pub peer_address: SocketAddr,
-    /// Whether it is about to leave and owns nothing any more.
+    /// Whether it is leaving and may own no upstreams.
     pub leaving: bool,
-    /// The version of its row, which each heartbeat raises.
+    /// The version of its row; it increases with each heartbeat that the member writes.
     pub row_version: u64,
 }
 
--- a/lib/src/runs/roster_watch.rs
+++ b/lib/src/runs/roster_watch.rs
@@ -1,4 +1,4 @@
-//! Which members of the roster have died, by their heartbeats in the store.
+//! Failure detection for roster members, by their heartbeats in the platform's store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,17 +9,18 @@
 use super::roster::Roster;
 use crate::time::Timestamp;
 
-/// How long a member's row may stay the same while the store answers: two and a half heartbeats.
-pub(crate) const DEAD_AFTER: Duration = Duration::from_millis(2_500);
+/// How long a member's row may stay unchanged while the store answers until the member counts as
+/// dead: two and a half heartbeats.
+pub(crate) const DEAD_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long after one instance another one removes a member that still stands.
-const REMOVAL_GAP: Duration = Duration::from_millis(300);
+/// The delay from one instance's turn_delay to remove a dead member to the next instance's turn_delay.
+const REMOVAL_TURN: Duration = Duration::from_millis(300);
 
-/// When each member's row changed last, as seen here.
+/// The row version of each member and when this instance first saw it.
 #[derive(Debug, Default)]
 pub(crate) struct RosterWatch {
     rows: IndexMap<Arc<str>, (u64, Timestamp)>,
-    /// Since when the store has answered; none while it is away.
+    /// Since when the store has been reachable; `None` while it is not.
     store_since: Option<Timestamp>,
     read_at: Option<Timestamp>,
 }
@@ -33,8 +34,8 @@
         self.store_since.get_or_insert(now);
     }
 
-    /// Notes the rows of a roster that was read.
-    pub(crate) fn read(&mut self, now: Timestamp, roster: &Roster) {
+    /// Records the row versions of a roster that was read.
+    pub(crate) fn record_rows(&mut self, now: Timestamp, roster: &Roster) {
         self.read_at = Some(now);
         self.rows.retain(|name, _| roster.member(name).is_some());
         for member in &roster.members {
@@ -47,9 +48,11 @@
         }
     }
 
-    /// The members that have died, with their rows' versions, as far as this instance is the one
-    /// to remove them now.
-    pub(crate) fn dead(
+    /// The dead members that this instance has to remove now, with their row versions.
+    ///
+    /// A member whose messages still arrive here is not dead. Nothing is removed while the store is
+    /// unreachable or the last roster read is old.
+    pub(crate) fn dead_members(
         &self,
         now: Timestamp,
         own: &str,
@@ -59,22 +62,22 @@
         let (Some(store_since), Some(read_at)) = (self.store_since, self.read_at) else {
             return Vec::new();
         };
-        if now.since(read_at) >= DEAD_AFTER / 2 {
+        if now.since(read_at) >= DEAD_MEMBER_TIMEOUT / 2 {
             return Vec::new();
         }
         let rows = self.rows.iter();
         let others = rows.filter(|(name, _)| &***name != own);
         let dead = others.filter(|(name, (_, changed_at))| {
-            let silent = now.since((*changed_at).max(store_since));
-            let turn = REMOVAL_GAP * removal_rank(own, name, roster);
-            !is_reachable(name) && silent >= DEAD_AFTER + turn
+            let unchanged_for = now.since((*changed_at).max(store_since));
+            let turn_delay = REMOVAL_TURN * removal_rank(own, name, roster);
+            !is_reachable(name) && unchanged_for >= DEAD_MEMBER_TIMEOUT + turn_delay
         });
         let dead = dead.map(|(name, (version, _))| (name.clone(), *version));
         dead.collect()
     }
 }
 
-/// The place of an instance among those that could remove a member.
+/// The position of `own` in the order in which instances try to remove a dead member, from zero.
 fn removal_rank(own: &str, dead: &str, roster: &Roster) -> u32 {
     let seed = xxh3_64_with_seed(dead.as_bytes(), 0);
     let score = |name: &str| xxh3_64_with_seed(name.as_bytes(), seed);
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of leased runs: every decision of one instance, as home and as owner.
+//! The dispatcher of leased runs, which combines an instance's roles as home and as owner.
 
 use std::fmt;
 use std::sync::Arc;
@@ -40,55 +40,59 @@
 use crate::time::Timestamp;
 use crate::timer::TimerService;
 
-/// The time between two heartbeats to the same instance.
-pub const HEARTBEAT: Duration = Duration::from_millis(150);
+/// The interval between heartbeats to the same instance.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The shortest time between two reports of a changed load.
-const REPORT_GAP: Duration = Duration::from_millis(25);
+/// The minimum time between a report and the next one that a changed load causes.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The part of all room that must have become free or used for a report between heartbeats.
-const REPORTED_SHARE: u32 = 8;
+/// A report is sent between heartbeats when the free processor has changed by at least the total
+/// processor divided by this.
+const REPORTED_CHANGE_DIVISOR: u32 = 8;
 
-/// How long after a message found no connection it is sent again: a new connection takes some
-/// milliseconds, one that was refused is tried again after 50.
-const RESEND_GAP: Duration = Duration::from_millis(30);
+/// The delay before a message that found no connection is sent again. Establishing a connection
+/// takes some milliseconds, and a refused one is retried after 50 ms.
+const RESEND_DELAY: Duration = Duration::from_millis(30);
 
-/// How long a job waits for any owner to come into reach.
-const NO_OWNER_TIME: Duration = Duration::from_millis(100);
+/// The age from which a job of which nothing has run ends when no owner is reachable.
+const NO_OWNER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long a job of which something has run waits for another owner: one that has just started is
-/// read from the roster within 550 ms, and known to listen after 100 ms and two heartbeats of 150.
-const NO_OWNER_LEFT_TIME: Duration = Duration::from_secs(1);
+/// How long a job of which something may have run waits for another owner. An owner that has just
+/// started is read from the roster within 550 ms, and known to be reachable after 100 ms and two
+/// heartbeats of 150 ms.
+const NO_OTHER_OWNER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long before a stopping process exits the jobs that are still open are answered, so that the
-/// answers are written by then.
-const LAST_ANSWERS: Duration = Duration::from_millis(150);
+/// How long before the exit of a stopping process its open jobs are answered, so that the answers
+/// are written in time.
+const LAST_ANSWERS_BEFORE_EXIT: Duration = Duration::from_millis(150);
 
-/// Reads intended states that other instances pass on.
+/// Decodes intended states that other instances pass on.
 pub trait IntendedDecoder: fmt::Debug + Send {
-    /// The state in these bytes; none when they hold none.
+    /// The intended state that `body` encodes; `None` when it is not valid.
     fn decode(&self, body: &[u8]) -> Option<IntendedState>;
 }
 
-/// What the dispatcher's own parts subscribe to.
+/// The timers of the dispatcher, besides those of its home and its owner.
 #[derive(Clone, Copy, Debug)]
-enum OwnTimer {
+enum DispatcherTimer {
     Heartbeat,
     Report,
     Resend,
 }
 
-/// A message that found no connection.
+/// A message that found no connection and is to be sent again.
 #[derive(Debug)]
-struct Unsent {
+struct UnsentMessage {
     peer: PeerKey,
     incarnation: Incarnation,
     message: RunMessage,
-    /// When it was to be sent first.
+    /// When it was first to be sent.
     sent_at: Timestamp,
 }
 
-/// Decides what one instance does: same events, same actions.
+/// Decides what one instance does, without I/O.
+///
+/// It is deterministic: the same events at the same times yield the same actions.
 #[derive(Debug)]
 pub struct RunDispatcher {
     pub(crate) settings: RunSettings,
@@ -103,22 +107,22 @@
     decoder: Box<dyn IntendedDecoder>,
     pub(crate) roster: Roster,
     pub(crate) roster_watch: super::roster_watch::RosterWatch,
-    timers: TimerService<OwnTimer>,
-    unsent: Vec<Unsent>,
-    /// The instances that this one exchanges heartbeats with.
+    timers: TimerService<DispatcherTimer>,
+    unsent: Vec<UnsentMessage>,
+    /// The instances with which this one exchanges heartbeats.
     neighbours: Vec<Arc<str>>,
     is_leaving: bool,
-    reported_free: u32,
-    reported_queue: bool,
+    reported_free_millicores: u32,
+    reported_has_queue: bool,
     reported_at: Timestamp,
 }
 
 impl RunDispatcher {
-    /// A dispatcher that knows nothing yet and refuses every job.
+    /// A dispatcher without an intended state and a roster, which refuses every job.
     pub fn new(settings: RunSettings, decoder: Box<dyn IntendedDecoder>) -> Self {
         let limits = settings.limits;
         let mut timers = TimerService::default();
-        timers.subscribe(Timestamp::ZERO, OwnTimer::Heartbeat);
+        timers.subscribe(Timestamp::ZERO, DispatcherTimer::Heartbeat);
         RunDispatcher {
             settings,
             now: Timestamp::ZERO,
@@ -126,7 +130,7 @@
             home: Home::default(),
             owner: Owner::new(limits.lease),
             peers: PeerTable::default(),
-            listing: UpstreamListing::new(limits.relisting),
+            listing: UpstreamListing::new(limits.relisting_time),
             intended: None,
             intended_body: Bytes::new(),
             decoder,
@@ -136,25 +140,25 @@
             unsent: Vec::new(),
             neighbours: Vec::new(),
             is_leaving: false,
-            reported_free: 0,
-            reported_queue: false,
+            reported_free_millicores: 0,
+            reported_has_queue: false,
             reported_at: Timestamp::ZERO,
         }
     }
 
-    /// Takes one event and appends what is to be done to `actions`.
+    /// Handles one event and appends the resulting actions to `actions`.
     ///
-    /// `now` must not be earlier than at the call before.
+    /// `now` must not be earlier than in the previous call.
     pub fn handle(&mut self, now: Timestamp, event: RunEvent, actions: &mut Vec<RunAction>) {
         self.now = now.max(self.now);
         self.run_timers();
-        self.take(event);
-        self.settle();
-        self.report_change();
+        self.handle_event(event);
+        self.process_outputs();
+        self.report_load_change();
         actions.append(&mut self.actions);
     }
 
-    /// When [`RunEvent::Tick`] is due next.
+    /// When the next [`RunEvent::Tick`] is due.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         let own = self.timers.next_at();
         let home = self.home.timers.next_at();
@@ -162,17 +166,18 @@
         [own, home, owner].into_iter().flatten().min()
     }
 
-    /// Whether callers may be sent here: the intended state and some upstream in reach are known.
+    /// Whether callers may be sent here: the intended state is known, an owner of upstreams is
+    /// reachable, and the instance is not stopping.
     pub fn is_ready(&self) -> bool {
         self.intended.is_some() && !self.is_leaving && self.has_owner_in_reach()
     }
 
-    /// Whether nothing is open: no job here, no task held for another.
+    /// Whether no job is open here and no task is held for a home.
     pub fn is_idle(&self) -> bool {
         self.home.is_idle() && self.owner.is_idle()
     }
 
-    /// A reading of the state, for metrics and pages.
+    /// A snapshot of the state, for metrics and status pages.
     pub fn status(&self) -> RunStatus {
         let upstreams = self.owner.upstreams.values();
         RunStatus {
@@ -211,14 +216,14 @@
         self.home.run_timers(self.now);
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                OwnTimer::Heartbeat => self.beat(),
-                OwnTimer::Report => {}
-                OwnTimer::Resend => self.resend(),
+                DispatcherTimer::Heartbeat => self.on_heartbeat_due(),
+                DispatcherTimer::Report => {}
+                DispatcherTimer::Resend => self.resend_unsent(),
             }
         }
     }
 
-    fn take(&mut self, event: RunEvent) {
+    fn handle_event(&mut self, event: RunEvent) {
         match event {
             RunEvent::Requested {
                 request,
@@ -228,13 +233,13 @@
                 wait,
             } => self.requested(request, &host, &path, kind, wait),
             RunEvent::RequestDropped { request } => self.home.drop_request(self.now, request),
-            RunEvent::IntendedRead { state, body } => self.install(state, body),
+            RunEvent::IntendedRead { state, body } => self.install_intended_state(state, body),
             RunEvent::UpstreamsListed(changes) => {
                 let gone = self.listing.apply(self.now, changes);
                 self.forget_upstreams(&gone);
                 self.assign_upstreams();
             }
-            RunEvent::RosterRead(roster) => self.read_roster(roster),
+            RunEvent::RosterRead(roster) => self.apply_roster(roster),
             RunEvent::StoreRegained => {
                 self.listing.store_regained(self.now);
                 self.roster_watch.store_regained(self.now);
@@ -243,7 +248,7 @@
                 self.listing.store_lost();
                 self.roster_watch.store_lost();
             }
-            RunEvent::PeerMessage { sender, message } => self.take_message(&sender, *message),
+            RunEvent::PeerMessage { sender, message } => self.handle_message(&sender, *message),
             RunEvent::PeerNotSent { instance, message } => self.peer_not_sent(&instance, *message),
             RunEvent::OrderAnswered { order, answer } => {
                 self.owner.order_answered(self.now, order, answer);
@@ -255,14 +260,14 @@
 
     fn stop(&mut self, grace: Duration) {
         self.is_leaving = true;
-        let last_answers_at = self.now + grace.saturating_sub(LAST_ANSWERS);
+        let last_answers_at = self.now + grace.saturating_sub(LAST_ANSWERS_BEFORE_EXIT);
         self.home.stop(last_answers_at);
         self.owner.leave();
         self.assign_upstreams();
         self.send_reports();
     }
 
-    fn install(&mut self, state: Arc<IntendedState>, body: Bytes) {
+    fn install_intended_state(&mut self, state: Arc<IntendedState>, body: Bytes) {
         let current = self.intended.as_ref().map_or(0, |state| state.version);
         if state.version <= current {
             return;
@@ -285,12 +290,12 @@
         }
     }
 
-    fn read_roster(&mut self, roster: Roster) {
+    fn apply_roster(&mut self, roster: Roster) {
         if roster.version < self.roster.version {
             return;
         }
-        self.roster_watch.read(self.now, &roster);
-        let is_same = is_same_membership(&self.roster, &roster);
+        self.roster_watch.record_rows(self.now, &roster);
+        let is_same = has_same_membership(&self.roster, &roster);
         self.roster = roster;
         let own = self.roster.member(&self.settings.instance);
         if own.is_none_or(|member| member.incarnation != self.settings.incarnation) {
@@ -303,7 +308,7 @@
                 .peers
                 .update(self.now, &self.roster, &self.settings.instance);
             for (peer, incarnation) in ended {
-                self.end_peer(peer, incarnation);
+                self.on_incarnation_ended(peer, incarnation);
             }
             self.neighbours = neighbours(&self.settings.instance, &self.roster);
             self.set_peers();
@@ -327,7 +332,7 @@
         self.actions.push(RunAction::SetPeers(peers));
     }
 
-    /// Takes over and lets go of upstreams as the roster and the listing say.
+    /// Takes over and releases upstreams as the roster and the listing assign them.
     pub(crate) fn assign_upstreams(&mut self) {
         let own = &self.settings.instance;
         let assigned = super::assignment::assigned_to(own, &self.roster, &self.listing);
@@ -339,9 +344,9 @@
             .reassign(self.now, &assigned, self.roster.version);
     }
 
-    fn beat(&mut self) {
-        let next = self.now + HEARTBEAT;
-        self.timers.subscribe(next, OwnTimer::Heartbeat);
+    fn on_heartbeat_due(&mut self) {
+        let next = self.now + HEARTBEAT_INTERVAL;
+        self.timers.subscribe(next, DispatcherTimer::Heartbeat);
         let gone = self.listing.expire(self.now);
         if !gone.is_empty() {
             self.forget_upstreams(&gone);
@@ -355,7 +360,7 @@
         };
         let dead = self
             .roster_watch
-            .dead(self.now, &own, &self.roster, is_reachable);
+            .dead_members(self.now, &own, &self.roster, is_reachable);
         for (name, row_version) in dead {
             tracing::warn!(instance = %name, row_version, "instance dead: removing it");
             self.actions
@@ -367,37 +372,37 @@
         self.send_reports();
     }
 
-    /// Gives up what depends on instances that say nothing.
+    /// Gives up what depends on instances that have become unreachable.
     fn check_peers(&mut self) {
         let now = self.now;
-        let silent = self.peers.peers.iter().filter_map(|(key, peer)| {
+        let unreachable = self.peers.peers.iter().filter_map(|(key, peer)| {
             let last_contact_at = peer.last_contact_at?;
             (!peer.is_reachable(now)).then_some((key, peer.incarnation, last_contact_at))
         });
-        let silent: Vec<(PeerKey, Incarnation, Timestamp)> = silent.collect();
-        for (peer, incarnation, last_contact_at) in silent {
+        let unreachable: Vec<(PeerKey, Incarnation, Timestamp)> = unreachable.collect();
+        for (peer, incarnation, last_contact_at) in unreachable {
             let state = &mut self.peers.peers[peer];
             state.last_contact_at = None;
-            tracing::warn!(instance = %state.name, "instance out of reach");
+            tracing::warn!(instance = %state.name, "instance unreachable");
             self.on_peer_unreachable(peer, incarnation, last_contact_at);
         }
-        for (peer, incarnation) in self.peers.drop_gone(now) {
-            self.end_peer(peer, incarnation);
+        for (peer, incarnation) in self.peers.forget_unlisted(now) {
+            self.on_incarnation_ended(peer, incarnation);
         }
         for home in self.owner.homes() {
-            let is_known = home == self.settings.incarnation
+            let is_home_reachable = home == self.settings.incarnation
                 || self
                     .peers
                     .by_incarnation(home)
                     .is_some_and(|key| self.peers.peers[key].is_reachable(now));
-            if !is_known {
+            if !is_home_reachable {
                 self.owner.drop_home(now, home);
             }
         }
     }
 
-    /// Gives up what depends on a run of an instance's process that has ended.
-    fn end_peer(&mut self, peer: PeerKey, incarnation: Incarnation) {
+    /// Gives up what depends on an incarnation of an instance that has ended.
+    fn on_incarnation_ended(&mut self, peer: PeerKey, incarnation: Incarnation) {
         self.on_peer_unreachable(peer, incarnation, self.now);
         self.home.forget_owner_incarnation(OwnerRef::Peer(peer));
     }
@@ -413,7 +418,7 @@
         self.owner.drop_home(self.now, incarnation);
     }
 
-    /// Ends jobs for whose tasks no owner has been in reach for a while.
+    /// Ends jobs whose waiting tasks have had no reachable owner for too long.
     fn end_unplaceable(&mut self) {
         let waiting = self.home.jobs.iter().filter(|(_, job)| job.is_waiting());
         let waiting: Vec<HomeJobKey> = waiting.map(|(key, _)| key).collect();
@@ -428,19 +433,19 @@
             let since = *job.no_owner_since.get_or_insert(self.now);
             let waited = self.now.since(since);
             if !job.may_have_run && !job.is_placed() {
-                if self.now.since(job.accepted_at) >= NO_OWNER_TIME {
+                if self.now.since(job.accepted_at) >= NO_OWNER_TIMEOUT {
                     let why = Unfinished::NotRun(NotRun::NoUpstreamInReach);
                     self.home.end_unfinished(self.now, key, why);
                 }
-            } else if waited >= NO_OWNER_LEFT_TIME {
+            } else if waited >= NO_OTHER_OWNER_TIMEOUT {
                 let why = Unfinished::GivenUp(GivenUp::OwnerLost);
                 self.home.end_unfinished(self.now, key, why);
             }
         }
     }
 
-    /// Carries out what home and owner want until neither wants more.
-    fn settle(&mut self) {
+    /// Carries out the outputs of home and owner until neither produces more.
+    fn process_outputs(&mut self) {
         loop {
             self.place_waiting();
             let outputs = std::mem::take(&mut self.home.outputs);
@@ -450,16 +455,16 @@
                 break;
             }
             for output in outputs {
-                self.carry_out(output);
+                self.carry_out_home_output(output);
             }
             for notice in notices {
-                self.notify(notice);
+                self.handle_owner_notice(notice);
             }
         }
         self.actions.append(&mut self.owner.actions);
     }
 
-    fn carry_out(&mut self, output: HomeOutput) {
+    fn carry_out_home_output(&mut self, output: HomeOutput) {
         let now = self.now;
         let own = self.settings.incarnation;
         match output {
@@ -483,7 +488,7 @@
         }
     }
 
-    fn notify(&mut self, notice: OwnerNotice) {
+    fn handle_owner_notice(&mut self, notice: OwnerNotice) {
         match notice {
             OwnerNotice::Ends { home, batch, ends } => {
                 if home == self.settings.incarnation {
@@ -539,7 +544,7 @@
             message: Box::new(TimedRunMessage {
                 receiver: peer.incarnation,
                 sent_at,
-                echo: peer.echo(self.now),
+                echo: peer.clock_estimate(self.now),
                 message,
             }),
         });
@@ -549,23 +554,26 @@
         self.actions.push(RunAction::Answer { request, answer });
     }
 
-    fn take_message(&mut self, sender: &PeerIdentity, timed: TimedRunMessage) {
+    fn handle_message(&mut self, sender: &PeerIdentity, timed: TimedRunMessage) {
         let mut replaced = None;
-        let is_for_this_run = timed.receiver == self.settings.incarnation;
-        // The clock of an earlier process says nothing of this one's.
-        let (sent_at, echo) = (timed.sent_at, timed.echo.filter(|_| is_for_this_run));
-        let noted = self
+        let is_for_this_incarnation = timed.receiver == self.settings.incarnation;
+        // A reading of an earlier incarnation's clock says nothing about this one's.
+        let (sent_at, echo) = (
+            timed.sent_at,
+            timed.echo.filter(|_| is_for_this_incarnation),
+        );
+        let recorded = self
             .peers
-            .note_message(self.now, sender, sent_at, echo, &mut replaced);
+            .record_message(self.now, sender, sent_at, echo, &mut replaced);
         if let Some((peer, incarnation)) = replaced {
-            self.end_peer(peer, incarnation);
+            self.on_incarnation_ended(peer, incarnation);
         }
-        let Some((peer, freshness)) = noted else {
+        let Some((peer, freshness)) = recorded else {
             return;
         };
-        if !is_for_this_run {
+        if !is_for_this_incarnation {
             let (instance, receiver) = (&sender.instance, timed.receiver);
-            tracing::info!(%instance, %receiver, content = %timed.message, "message to an earlier process ignored");
+            tracing::info!(%instance, %receiver, content = %timed.message, "message to an earlier incarnation ignored");
             return;
         }
         let is_fresh = freshness == Freshness::Fresh;
@@ -577,7 +585,7 @@
                 self.owner.adopt(now, home, &upstream, batch);
             }
             RunMessage::Ends(ends) => {
-                self.take_digest(peer, ends.digest);
+                self.record_digest(peer, ends.digest);
                 self.home.take_ends(now, owner, ends.batch, ends.ends);
             }
             RunMessage::Cancel { batches } => self.owner.cancel(now, home, &batches),
@@ -591,7 +599,7 @@
                 self.home
                     .claim_found(now, owner, &upstream, &running, &ended);
             }
-            RunMessage::Report(report) if is_fresh => self.take_report(peer, home, report),
+            RunMessage::Report(report) if is_fresh => self.handle_report(peer, home, report),
             RunMessage::Report(_) => {}
             RunMessage::CancelJob { job } => {
                 self.home.cancel(now, job);
@@ -599,20 +607,20 @@
             RunMessage::IntendedRequest { have_version } => {
                 self.send_intended(peer, have_version);
             }
-            RunMessage::IntendedBody { body, .. } => self.take_intended(body),
+            RunMessage::IntendedBody { body, .. } => self.handle_intended_body(body),
         }
     }
 
-    fn take_report(&mut self, peer: PeerKey, home: Incarnation, report: PeerReport) {
+    fn handle_report(&mut self, peer: PeerKey, home: Incarnation, report: PeerReport) {
         let owner = OwnerRef::Peer(peer);
-        self.take_digest(peer, report.digest);
+        self.record_digest(peer, report.digest);
         self.owner
             .keep_only(self.now, home, &report.open, report.highest_sent);
         self.home
             .compare_held(self.now, owner, &report.held, report.highest_taken);
     }
 
-    fn take_digest(&mut self, peer: PeerKey, digest: RunDigest) {
+    fn record_digest(&mut self, peer: PeerKey, digest: RunDigest) {
         let own_version = self.intended.as_ref().map_or(0, |state| state.version);
         if digest.intended_version > own_version {
             let request = RunMessage::IntendedRequest {
@@ -638,10 +646,13 @@
         self.send(peer, message);
     }
 
-    fn take_intended(&mut self, body: Bytes) {
+    fn handle_intended_body(&mut self, body: Bytes) {
         match self.decoder.decode(&body) {
-            Some(state) => self.install(Arc::new(state), body),
-            None => tracing::warn!(bytes = body.len(), "passed-on intended state is not valid"),
+            Some(state) => self.install_intended_state(Arc::new(state), body),
+            None => tracing::warn!(
+                bytes = body.len(),
+                "intended state from another instance is not valid"
+            ),
         }
     }
 
@@ -658,30 +669,31 @@
                 self.home.take_unsent(self.now, owner, batch.number);
                 self.peers.peers[peer].digest.services.clear();
             }
-            // A heartbeat or a request for a document comes again by itself.
+            // These are sent again with the next heartbeat.
             RunMessage::Report(_)
             | RunMessage::IntendedRequest { .. }
             | RunMessage::IntendedBody { .. } => {}
             message => {
-                self.unsent.push(Unsent {
+                self.unsent.push(UnsentMessage {
                     peer,
                     incarnation: receiver,
                     message,
                     sent_at,
                 });
-                let due = self.now + RESEND_GAP;
-                self.timers.subscribe(due, OwnTimer::Resend);
+                let due = self.now + RESEND_DELAY;
+                self.timers.subscribe(due, DispatcherTimer::Resend);
             }
         }
     }
 
-    /// Sends again what found no connection, while its receiver may still act on it.
-    fn resend(&mut self) {
+    /// Sends unsent messages again, except those that their receiver can no longer act on.
+    fn resend_unsent(&mut self) {
         for unsent in std::mem::take(&mut self.unsent) {
-            let is_useful = self.now.since(unsent.sent_at) < PEER_TIMEOUT;
+            let may_still_act = self.now.since(unsent.sent_at) < PEER_TIMEOUT;
             let peer = self.peers.peers.get(unsent.peer);
-            let is_same = peer.is_some_and(|peer| peer.incarnation == unsent.incarnation);
-            if is_useful && is_same {
+            let is_same_incarnation =
+                peer.is_some_and(|peer| peer.incarnation == unsent.incarnation);
+            if may_still_act && is_same_incarnation {
                 self.send_as_of(unsent.sent_at, unsent.peer, unsent.message);
             } else {
                 let peer = peer.map_or("unknown", |peer| &peer.name);
@@ -690,7 +702,7 @@
         }
     }
 
-    /// This instance's load.
+    /// The load of this instance, as other instances get it.
     fn digest(&self) -> RunDigest {
         RunDigest {
             services: self.owner.loads(self.now),
@@ -702,7 +714,7 @@
 
     fn send_reports(&mut self) {
         let digest = self.digest();
-        self.note_reported(&digest);
+        self.record_reported_load(&digest);
         let peers: Vec<(PeerKey, Incarnation)> = self
             .peers
             .peers
@@ -713,7 +725,8 @@
             let (held, highest_taken) = self.owner.held_of(self.now, incarnation);
             let open = self.home.open_at(OwnerRef::Peer(peer));
             let state = &self.peers.peers[peer];
-            let is_neighbour = self.neighbours.contains(&state.name) || state.is_back(self.now);
+            let is_neighbour =
+                self.neighbours.contains(&state.name) || state.is_reachable_unlisted(self.now);
             if held.is_empty() && open.is_empty() && !is_neighbour {
                 continue;
             }
@@ -728,25 +741,27 @@
         }
     }
 
-    fn note_reported(&mut self, digest: &RunDigest) {
+    fn record_reported_load(&mut self, digest: &RunDigest) {
         self.reported_at = self.now;
-        (self.reported_free, self.reported_queue) = measure(digest);
+        (self.reported_free_millicores, self.reported_has_queue) = load_summary(digest);
     }
 
-    /// Sends a report when the load has changed by much since the last.
-    fn report_change(&mut self) {
+    /// Sends a report if the load has changed substantially since the last one.
+    fn report_load_change(&mut self) {
         let digest = self.digest();
-        let (free, has_queue) = measure(&digest);
+        let (free, has_queue) = load_summary(&digest);
         let total = digest.services.iter().map(|load| load.total.cpu_millicores);
         let total = total.fold(0, u32::saturating_add);
-        let step = (total / REPORTED_SHARE).max(1);
-        if free.abs_diff(self.reported_free) < step && has_queue == self.reported_queue {
+        let step = (total / REPORTED_CHANGE_DIVISOR).max(1);
+        if free.abs_diff(self.reported_free_millicores) < step
+            && has_queue == self.reported_has_queue
+        {
             return;
         }
-        let due = self.reported_at + REPORT_GAP;
+        let due = self.reported_at + MIN_REPORT_INTERVAL;
         if due > self.now {
             if self.timers.next_at().is_none_or(|next| next > due) {
-                self.timers.subscribe(due, OwnTimer::Report);
+                self.timers.subscribe(due, DispatcherTimer::Report);
             }
             return;
         }
@@ -754,10 +769,10 @@
     }
 }
 
-fn is_same_membership(left: &Roster, right: &Roster) -> bool {
-    let facts = |roster: &Roster| {
+fn has_same_membership(left: &Roster, right: &Roster) -> bool {
+    let membership = |roster: &Roster| {
         let members = roster.members.iter();
-        let facts = members.map(|member| {
+        let membership = members.map(|member| {
             let name = member.name.clone();
             (
                 name,
@@ -766,13 +781,13 @@
                 member.peer_address,
             )
         });
-        facts.collect::<Vec<_>>()
+        membership.collect::<Vec<_>>()
     };
-    facts(left) == facts(right)
+    membership(left) == membership(right)
 }
 
-/// The free processor of a load in thousandths of a core, and whether tasks wait.
-fn measure(digest: &RunDigest) -> (u32, bool) {
+/// The free processor of a load in thousandths of a core, and whether tasks are queued.
+fn load_summary(digest: &RunDigest) -> (u32, bool) {
     let free = digest.services.iter().flat_map(|load| &load.free);
     let free = free.map(|upstream| upstream.free.cpu_millicores);
     let has_queue = digest.services.iter().any(|load| load.queued_tasks > 0);
--- a/lib/src/runs/run_settings.rs
+++ b/lib/src/runs/run_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one instance's dispatcher of leased runs.
+//! Settings of the dispatcher of leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,31 +7,33 @@
 
 use crate::id::Incarnation;
 
-/// The fixed facts of one instance.
+/// The identity of one instance and the limits that it applies.
 #[value]
 pub struct RunSettings {
     /// The instance's name.
     pub instance: Arc<str>,
     /// The name of its data centre.
     pub data_centre: Arc<str>,
-    /// This run of the process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The times and bounds.
+    /// The durations and bounds.
     pub limits: RunLimits,
 }
 
-/// Times and bounds.
+/// Durations and bounds of the dispatcher.
 #[value]
 #[derive(Copy)]
 pub struct RunLimits {
-    /// How long upstreams keep running what nobody holds: the longest lease that they grant.
+    /// The lease that orders ask for, the longest that upstreams grant: how long runs go on
+    /// without a renewal.
     pub lease: Duration,
-    /// How long a request may take whose caller names no time, on a queue without a timeout.
+    /// The timeout of a request whose caller names no time, on a queue without a timeout.
     pub default_timeout: Duration,
-    /// How long the platform needs to list a living upstream again after an outage.
-    pub relisting: Duration,
-    /// The most jobs that are open at a time.
-    pub open_jobs: usize,
+    /// How long it takes until live upstreams are listed again after an outage of the platform's
+    /// store.
+    pub relisting_time: Duration,
+    /// The maximum number of open jobs.
+    pub max_open_jobs: usize,
 }
 
 impl Default for RunLimits {
@@ -39,8 +41,8 @@
         RunLimits {
             lease: Duration::from_millis(1_000),
             default_timeout: Duration::from_millis(1_500),
-            relisting: Duration::from_millis(2_200),
-            open_jobs: 5_000,
+            relisting_time: Duration::from_millis(2_200),
+            max_open_jobs: 5_000,
         }
     }
 }
--- a/lib/tests/resent_messages.rs
+++ b/lib/tests/resent_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between instances that found no connection and are sent again.
+//! Resending of messages between instances that found no connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     }
 }
 
-/// An instance that knows its peer in the later of two lives.
+/// An instance whose peer is in the later of two incarnations.
 fn instance() -> RunDispatcher {
     let settings = RunSettings {
         instance: Arc::from("entry-a"),
@@ -60,7 +60,7 @@
     instance
 }
 
-/// The lives of the peer that a cancel is sent to again which found no connection.
+/// The incarnations to which a cancel for `receiver` that found no connection is sent again.
 fn resent_to(receiver: Incarnation) -> Vec<Incarnation> {
     let mut instance = instance();
     let message = TimedRunMessage {
@@ -86,11 +86,11 @@
 }
 
 #[test]
-fn message_to_a_living_process_is_sent_again() {
+fn message_to_the_current_incarnation_is_resent() {
     assert_eq!(resent_to(CURRENT_INCARNATION), [CURRENT_INCARNATION]);
 }
 
-/// Guards against a message to an earlier life of an instance that is sent again to the next one.
+/// Guards against a message for an ended incarnation of an instance that is sent again to the next.
 #[test]
 fn message_to_an_earlier_incarnation_is_not_sent_to_the_next() {
     assert_eq!(resent_to(EARLIER_INCARNATION), []);
