--- a/lib/src/runs/event.rs
+++ b/lib/src/runs/event.rs
@@ -1,4 +1,4 @@
-//! What comes into the dispatcher of leased runs.
+//! The inputs of the dispatcher of leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,78 +15,79 @@
 use crate::event::PeerIdentity;
 use crate::id::RequestId;
 
-/// Something that happened.
+/// An input of [`RunDispatcher`](super::run_dispatcher::RunDispatcher).
 #[derive(Clone, Debug)]
 pub enum RunEvent {
     /// A caller sent a request.
     Requested {
         /// The request to answer.
         request: RequestId,
-        /// The host that it names.
+        /// The requested host.
         host: String,
-        /// Its path.
+        /// The requested path.
         path: String,
-        /// What it asks.
+        /// What the caller asks for.
         kind: RequestKind,
-        /// How long its caller waits for the answer.
+        /// How long the caller waits for the answer; `None` when it names no time.
         wait: Option<Duration>,
     },
-    /// A caller went away before its answer.
+    /// A caller disconnected before it was answered.
     RequestDropped {
         /// The request.
         request: RequestId,
     },
-    /// An intended state was read.
+    /// An intended state was read from the platform's store.
     IntendedRead {
         /// The state.
         state: Arc<IntendedState>,
-        /// Its bytes as stored, to pass on.
+        /// The stored bytes, for passing it on to other instances.
         body: Bytes,
     },
-    /// The list of upstreams changed.
+    /// Entries of the upstream listing changed.
     UpstreamsListed(Vec<ListingChange>),
-    /// The list of instances was read.
+    /// A version of the roster was read.
     RosterRead(Roster),
-    /// The platform's store answers again, or for the first time.
+    /// The platform's store became reachable.
     StoreRegained,
-    /// The platform's store does not answer.
+    /// The platform's store became unreachable.
     StoreLost,
-    /// A message of another instance.
+    /// A message from another instance arrived.
     PeerMessage {
         /// Who sent it.
         sender: PeerIdentity,
         /// The message.
         message: Box<TimedRunMessage>,
     },
-    /// A message was dropped before a byte of it was sent.
+    /// A message was dropped before any byte of it was sent.
     PeerNotSent {
-        /// The instance that it was for.
+        /// The instance that it was addressed to.
         instance: Arc<str>,
         /// The message.
         message: Box<TimedRunMessage>,
     },
-    /// An order was answered, or not.
+    /// An order to an upstream was answered, or its answer was given up.
     OrderAnswered {
         /// The order.
         order: OrderId,
-        /// What came back.
+        /// The answer, or why there is none.
         answer: OrderAnswer,
     },
-    /// This process was asked to stop: finish what runs, own nothing new.
+    /// This process was asked to stop: it finishes what runs and takes over no upstreams.
     StopRequested {
-        /// How long it may take.
+        /// The time until the process exits.
         grace: Duration,
     },
-    /// A time that the dispatcher named has come.
+    /// The time of
+    /// [`RunDispatcher::next_wakeup`](super::run_dispatcher::RunDispatcher::next_wakeup) has come.
     Tick,
 }
 
-/// What a caller asks.
+/// What a caller asks for.
 #[derive(Clone, Debug)]
 pub enum RequestKind {
-    /// Run a job and tell how it ended.
+    /// Run a job and return how it ended.
     Submit(Arc<JobSpec>),
-    /// Tell a job's state, or how many jobs of a queue wait.
+    /// Return the state of a job, or the number of jobs that wait in a queue.
     LookUp,
     /// Cancel a job.
     Cancel,
--- a/lib/src/runs/run_id.rs
+++ b/lib/src/runs/run_id.rs
@@ -1,26 +1,26 @@
-//! Names of jobs, tasks, batches and orders.
+//! Identifiers of jobs, tasks, runs and orders, and keys of the dispatcher's tables.
 
 use std::fmt;
 use std::str;
 
 use almondhead_macros::key;
 
-/// The length of a job's name.
+/// The length of a job's identifier.
 pub const JOB_ID_BYTES: usize = 16;
 
-/// A job's name, chosen by its caller: 16 hexadecimal digits.
+/// The identifier of a job, chosen by its caller: 16 hexadecimal digits.
 #[key]
 pub struct JobId([u8; JOB_ID_BYTES]);
 
 impl JobId {
-    /// The job with this name; none when it is not 16 hexadecimal digits.
+    /// Parses an identifier; `None` when `text` is not 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<JobId> {
         let bytes: [u8; JOB_ID_BYTES] = text.as_bytes().try_into().ok()?;
         let is_hexadecimal = bytes.iter().all(u8::is_ascii_hexdigit);
         is_hexadecimal.then_some(JobId(bytes))
     }
 
-    /// The name's text.
+    /// The identifier as text.
     pub fn as_str(&self) -> &str {
         str::from_utf8(&self.0).unwrap_or_default()
     }
@@ -32,16 +32,16 @@
     }
 }
 
-/// A task of a job.
+/// The identifier of a task of a job.
 #[key]
 pub struct TaskName {
     /// The job.
     pub job: JobId,
-    /// Which time of a job that runs several times, from zero.
+    /// The repetition of a job that runs several times, from zero.
     pub occurrence: u32,
     /// The step, from zero.
     pub step: u32,
-    /// The task's place in its step, from zero.
+    /// The task's index in its step, from zero.
     pub index: u32,
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// One start of a task. Numbers rise with each start of the same task.
+/// One start of a task. Numbers increase with each start of the same task.
 #[key]
 pub struct RunId {
     /// The task.
@@ -72,17 +72,17 @@
     }
 }
 
-/// An order to an upstream, numbered by the instance that gives it.
+/// The number that an instance gives an order that it sends to an upstream.
 #[key]
 pub struct OrderId(pub u64);
 
 slotmap::new_key_type! {
-    /// An upstream that this instance owns.
+    /// Key of an upstream that this instance owns.
     pub struct LeasedUpstreamKey;
-    /// A batch of tasks that this instance holds for a home.
+    /// Key of a batch of tasks that this instance holds for a home.
     pub struct HeldBatchKey;
-    /// A job whose home is this instance.
+    /// Key of a job whose home is this instance.
     pub struct HomeJobKey;
-    /// Another instance.
+    /// Key of another instance.
     pub struct PeerKey;
 }
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -1,9 +1,9 @@
 //! Messages between instances about leased runs.
 //!
-//! Each may arrive twice, late or never. Every message carries the sender's clock and what the
-//! sender believes the receiver's clock to show, so that a receiver can tell how long a message
-//! was under way without a common clock. Batches, clocks and what is said of them belong to one run
-//! of a process, so that a message names the one that it is for.
+//! A message may arrive twice, late or never. Each carries the sender's clock and the sender's
+//! estimate of the receiver's clock, so that the receiver can tell how long it was in flight
+//! although the clocks are not synchronised. Batch numbers and clock readings are valid for one
+//! incarnation of a process only, so a message names the incarnation that it is for.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,57 +17,59 @@
 use crate::id::Incarnation;
 use crate::time::Timestamp;
 
-/// A message with its clock readings.
+/// A message to one incarnation of an instance, with clock readings.
 #[value]
 pub struct TimedRunMessage {
-    /// The run of the receiver's process that the message is for; no other one acts on it.
+    /// The incarnation that the message is for; any other ignores it.
     pub receiver: Incarnation,
-    /// The sender's clock.
+    /// The sender's clock when the message was first to be sent.
     pub sent_at: Timestamp,
-    /// The receiver's clock as far as the sender can tell: the last reading that it got, and the
-    /// time since. None when it got none.
+    /// The sender's estimate of the receiver's clock: the last reading that it received, plus the
+    /// time since then. `None` when it has received none.
     pub echo: Option<Timestamp>,
     /// The message.
     pub message: RunMessage,
 }
 
-/// A message about leased runs; its text, for logs, names what it is about.
+/// A message about leased runs. Its `Display` form, for logs, says what it is about.
 #[value]
 #[derive(derive_more::Display)]
 pub enum RunMessage {
     /// Run these tasks on upstreams of the receiver.
     #[display("batch {} of job {}", _0.number, _0.job)]
     Place(RunBatch),
-    /// Hold these runs, which run already on an upstream that the receiver has taken over.
+    /// Take charge of these runs, which are already running on an upstream that the receiver has
+    /// taken over.
     #[display("batch {} of job {} adopted on {upstream}", batch.number, batch.job)]
     Adopt {
         /// The upstream.
         upstream: Arc<str>,
-        /// The tasks with the numbers of their runs.
+        /// The tasks, with the numbers of their current runs.
         batch: RunBatch,
     },
     /// How tasks of a batch ended.
     #[display("{} ends of batch {}", _0.ends.len(), _0.batch)]
     Ends(RunEnds),
-    /// Stop what is left of these batches of the sender.
+    /// Stop the open tasks of these batches, which the sender placed.
     #[display("{} batches cancelled", batches.len())]
     Cancel {
         /// The numbers of the batches.
         batches: Vec<u64>,
     },
-    /// The sender has taken over an upstream and found runs there that it did not start.
+    /// The sender has taken over an upstream and found runs there that it did not start; their
+    /// homes may claim them.
     #[display("{} runs and {} ends found on {upstream}", running.len(), ended.len())]
     Found {
         /// The upstream.
         upstream: Arc<str>,
-        /// The ownership under which the sender holds it.
+        /// The fencing token of the sender's ownership.
         fence: u64,
-        /// The runs that still run.
+        /// The runs that are still running.
         running: Vec<RunId>,
         /// The runs that have ended.
         ended: Vec<FoundEnd>,
     },
-    /// The sender's load, and which batches it believes open.
+    /// A heartbeat with the sender's load and the state of batches.
     #[display("report")]
     Report(PeerReport),
     /// Cancel the job if the receiver is its home.
@@ -76,13 +78,13 @@
         /// The job.
         job: JobId,
     },
-    /// Ask for the intended state that the receiver holds.
-    #[display("intended state wanted after version {have_version}")]
+    /// Request the receiver's intended state if it is newer than the sender's.
+    #[display("intended state newer than version {have_version} requested")]
     IntendedRequest {
-        /// The version that the sender holds, zero when none.
+        /// The version that the sender has; zero when it has none.
         have_version: u64,
     },
-    /// The intended state that the sender holds, as the platform stores it.
+    /// The sender's intended state, as the platform stores it.
     #[display("intended state of version {version}")]
     IntendedBody {
         /// The version.
@@ -92,28 +94,28 @@
     },
 }
 
-/// Tasks of one job, handed to the owner of upstreams.
+/// Tasks of one job that its home places with an owner.
 #[value]
 pub struct RunBatch {
-    /// The home's number of the batch, rising for each receiver.
+    /// The number that the home gave the batch; it increases from batch to batch.
     pub number: u64,
     /// The job.
     pub job: JobId,
     /// The service.
     pub service: Arc<str>,
-    /// The text that goes with each start.
+    /// The job's specification text, sent to the upstream with each start.
     pub spec: Arc<str>,
-    /// The rank of the job's queue.
+    /// The rank of the job's queue; zero comes first.
     pub priority: u32,
-    /// How long until the job is to end, negative once that has passed.
+    /// The time until the job's objective in microseconds, negative once it has passed.
     pub objective_left_us: i64,
-    /// How long until its caller leaves.
+    /// The time until the job's caller stops waiting.
     pub deadline_left: Duration,
-    /// What the tasks need, by step.
+    /// What the tasks need, one entry a step.
     pub demands: Vec<StepDemand>,
     /// The tasks.
     pub tasks: Vec<PlacedTask>,
-    /// Whether other tasks of the job run or have run.
+    /// Whether other tasks of the job are running or have run.
     pub has_begun: bool,
 }
 
@@ -122,17 +124,17 @@
 pub struct StepDemand {
     /// The step.
     pub step: u32,
-    /// The room of one task.
+    /// The resources that one task uses.
     pub demand: Resources,
     /// The expected run time of one task.
     pub expected_run_time: Duration,
-    /// The run time that the caller declared, zero when none.
+    /// The run time of one task that the caller declared; zero when it declared none.
     pub declared_run_time: Duration,
     /// A label that the upstream must have.
     pub required_label: Option<Arc<str>>,
-    /// The rack where the data is.
+    /// The rack that holds the step's data.
     pub data_rack: Option<Arc<str>>,
-    /// The most tasks of the step on one upstream.
+    /// The maximum number of tasks of the step on one upstream.
     pub most_per_upstream: Option<u32>,
 }
 
@@ -141,13 +143,13 @@
 pub struct PlacedTask {
     /// Its step.
     pub step: u32,
-    /// Its place in the step.
+    /// Its index in the step.
     pub index: u32,
-    /// The number of the start.
+    /// The number of this start.
     pub run: u32,
-    /// Its run time on an upstream of usual speed, where its progress elsewhere has shown it.
+    /// Its run time on an upstream of usual speed, if the progress of earlier runs showed it.
     pub known_run_time: Option<Duration>,
-    /// Upstreams that it failed on before.
+    /// Upstreams on which earlier runs of it failed, were lost or were too slow.
     pub avoid: Vec<Arc<str>>,
 }
 
@@ -162,7 +164,7 @@
     pub digest: RunDigest,
 }
 
-/// How one run ended.
+/// A run that ended, and how.
 #[value]
 pub struct TaskEnd {
     /// The run.
@@ -171,12 +173,12 @@
     pub end: RunEnd,
 }
 
-/// How one run ended, as its home has to know it.
+/// How a run ended, as reported to its home.
 #[value]
 pub enum RunEnd {
     /// The task is done.
     Done {
-        /// What it would have taken on an upstream of usual speed; zero when that is not known.
+        /// Its run time scaled to an upstream of usual speed; zero when it is unknown.
         work: Duration,
     },
     /// The task failed on this upstream.
@@ -184,22 +186,22 @@
         /// The upstream.
         upstream: Arc<str>,
     },
-    /// It did not start, and this run never will.
+    /// The run did not start and never will.
     NotStarted(NotStarted),
-    /// It runs no more and has not ended by itself.
+    /// The run is over, but did not end by itself.
     Lost {
         /// The upstream.
         upstream: Arc<str>,
     },
-    /// It may still run on this upstream, which another instance has taken over.
+    /// The run may still go on on this upstream, which another instance has taken over.
     TakenOver {
         /// The upstream.
         upstream: Arc<str>,
     },
-    /// It was stopped: by its progress it would have ended after its caller has left, or far
-    /// later than expected.
+    /// The run was stopped, since its progress predicted an end after the caller's deadline or
+    /// far later than expected.
     TooSlow {
-        /// What it would take on an upstream of usual speed.
+        /// The predicted run time on an upstream of usual speed.
         work: Duration,
         /// The upstream.
         upstream: Arc<str>,
@@ -210,28 +212,28 @@
 #[value]
 #[derive(Copy, derive_more::Display)]
 pub enum NotStarted {
-    /// It could no longer end in time.
+    /// It could no longer end before its job's deadline.
     #[display("too_late")]
     TooLate,
-    /// It waited past its job's objective, and nothing of the job runs there.
+    /// It was queued past its job's objective, and no task of the job was running there.
     #[display("overdue")]
     Overdue,
-    /// The upstream remembers a run with a number as high.
+    /// The upstream has seen a run of the task with the same or a higher number.
     #[display("old_run")]
     OldRun,
-    /// The order did not reach the upstream, or it was refused.
+    /// The start order did not reach the upstream, or the upstream refused it.
     #[display("refused")]
     Refused,
-    /// The receiver has no upstream that could run it.
+    /// The owner has no upstream that could run it.
     #[display("no_upstream")]
     NoUpstream,
-    /// The message with it was too long under way.
+    /// The message that placed it was in flight for too long.
     #[display("stale")]
     Stale,
-    /// The receiver is stopping.
+    /// The owner is stopping.
     #[display("leaving")]
     Leaving,
-    /// The upstream found the order invalid.
+    /// The upstream rejected the start order as invalid.
     #[display("invalid")]
     Invalid,
 }
@@ -241,14 +243,15 @@
 pub struct FoundEnd {
     /// The run.
     pub run: RunId,
-    /// Whether it ended done.
+    /// Whether the task is done.
     pub done: bool,
-    /// Whether it ended failed.
+    /// Whether the task failed. When it is neither done nor failed, the run ended for another
+    /// reason.
     pub failed: bool,
 }
 
 impl FoundEnd {
-    /// How the run ended on this upstream, as its home has to know it.
+    /// How the run ended on `upstream`, as reported to its home.
     pub(crate) fn end_on(&self, upstream: &Arc<str>) -> RunEnd {
         let upstream = upstream.clone();
         match self {
@@ -261,17 +264,18 @@
     }
 }
 
-/// A heartbeat.
+/// The content of a heartbeat: load, and the batches between sender and receiver.
 #[value]
 pub struct PeerReport {
     /// The sender's load.
     pub digest: RunDigest,
-    /// The receiver's batches that the sender holds.
+    /// The receiver's batches that the sender holds as an owner.
     pub held: Vec<u64>,
-    /// The highest number of a batch of the receiver that the sender has taken.
+    /// The highest number of the receiver's batches that the sender has accepted.
     pub highest_taken: u64,
-    /// The sender's batches that it believes to be held by the receiver.
+    /// The sender's batches that it believes the receiver to hold.
     pub open: Vec<u64>,
-    /// The highest number of a batch that the sender has sent to the receiver.
+    /// The highest batch number that the sender has assigned. The receiver keeps batches with a
+    /// higher one, which were sent after this report.
     pub highest_sent: u64,
 }
--- a/lib/src/runs/run_status.rs
+++ b/lib/src/runs/run_status.rs
@@ -1,11 +1,11 @@
-//! A reading of a dispatcher's state.
+//! A snapshot of a dispatcher's state, for metrics and status pages.
 
 use super::run_counts::RunCounts;
 
-/// How a dispatcher stands.
+/// The state of a dispatcher at one time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunStatus {
-    /// The version of the intended state, zero when none.
+    /// The version of the intended state; zero when it is not known.
     pub intended_version: u64,
     /// The version of the roster.
     pub roster_version: u64,
@@ -13,24 +13,24 @@
     pub leaving: bool,
     /// Whether callers may be sent here.
     pub ready: bool,
-    /// Jobs whose home this is.
+    /// Open jobs whose home is this instance.
     pub open_jobs: usize,
-    /// Batches held for homes.
+    /// Batches that this instance holds for homes.
     pub held_batches: usize,
-    /// Tasks that wait for room.
+    /// Tasks of these batches that wait for an upstream.
     pub queued_tasks: usize,
-    /// Tasks that run on owned upstreams.
+    /// Runs on owned upstreams that have not ended.
     pub running_tasks: usize,
     /// Upstreams that this instance owns.
     pub owned_upstreams: usize,
-    /// Those of them that take tasks.
+    /// Owned upstreams that accept tasks.
     pub usable_upstreams: usize,
-    /// Upstreams that are listed.
+    /// Upstreams that the platform lists.
     pub listed_upstreams: usize,
-    /// Other instances known.
+    /// Other instances that are known.
     pub peers: usize,
-    /// Those of them that spoke lately.
+    /// Known instances that are reachable.
     pub reachable_peers: usize,
-    /// What its home decided.
+    /// Counters of this instance as a home.
     pub counts: RunCounts,
 }
--- a/lib/tests/message_names.rs
+++ b/lib/tests/message_names.rs
@@ -1,4 +1,4 @@
-//! What logs say of messages between instances: what they are about, in words that can be searched.
+//! The texts that logs contain for messages between instances, by which they can be searched.
 
 use std::sync::Arc;
 
