--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -1,8 +1,8 @@
-//! Random faults on a simulated site of leased runs, in series and overlapping, with callers that
-//! submit a job again when its answer is lost: no task may run twice at a time, and a job that was
-//! said not to have run may not have run.
+//! Random faults, one after another and overlapping, on a simulated site of leased runs whose
+//! callers submit a job again when its answer is lost.
 //!
-//! `RUN_FAULTS_SEEDS=100..2000` plays other seeds; `RUN_SITE_LOG=info` writes the dispatchers' logs.
+//! No task may run twice at a time, and no task may run of a job that was answered as not run.
+//! `RUN_FAULTS_SEEDS=100..2000` runs other seeds; `RUN_SITE_LOG=info` writes the dispatchers' logs.
 
 use std::env;
 use std::ops::Range;
@@ -17,33 +17,33 @@
 use almondhead_testsupport::run_site::UpstreamFault;
 use almondhead_testsupport::run_site::run_job;
 
-/// The seeds played in CI.
+/// The seeds that CI runs.
 const SEEDS: Range<u64> = 1..150;
 
-/// Seeds that failed once, played in CI too.
+/// Seeds that failed before, which CI runs too.
 ///
-/// Traced: 26, 47, 95, 289 and 326 to ends of an earlier attempt; 30, 108 and 127 to batches of an
-/// earlier life of an owner; 67 and 345 to messages for an earlier life of the receiver; 63 to a
-/// request on an instance that was frozen, whose caller had left.
-const FAILED_SEEDS: [u64; 8] = [190, 217, 279, 289, 294, 326, 345, 371];
+/// The causes found were ends of an earlier attempt (seeds 26, 47, 95, 289 and 326), batches of an
+/// earlier incarnation of an owner (30, 108 and 127), messages for an earlier incarnation of the
+/// receiver (67 and 345), and a request on a frozen instance whose caller had left (63).
+const REGRESSION_SEEDS: [u64; 8] = [190, 217, 279, 289, 294, 326, 345, 371];
 
-/// How long a course takes, in milliseconds.
-const COURSE_MS: u64 = 8_000;
+/// How long new jobs and faults begin in a scenario, in milliseconds.
+const ACTIVE_MS: u64 = 8_000;
 
-/// The time between two looks at callers and faults, in milliseconds.
+/// The time between two updates of callers and faults, in milliseconds.
 const STEP_MS: u64 = 5;
 
 /// How long callers wait for their answers, in milliseconds.
 const SHORT_WAIT_MS: u64 = 1_500;
 const LONG_WAIT_MS: u64 = 6_000;
 
-/// The seeds played with callers who wait long, in CI.
+/// The seeds that CI runs with callers who wait long.
 const LONG_WAIT_SEEDS: Range<u64> = 1..60;
 
 /// How long after a lost answer a caller submits its job again, in milliseconds.
-const RESEND_MS: u64 = 1_300;
+const RESUBMIT_DELAY_MS: u64 = 1_300;
 
-/// How often a caller submits its job in all.
+/// The maximum number of times that a caller submits its job.
 const MAX_ATTEMPTS: u32 = 3;
 
 /// A job and the caller who waits for it.
@@ -53,14 +53,14 @@
     work_ms: u64,
     attempts: u32,
     home: usize,
-    /// The life of the home's process that the last attempt went to.
+    /// The incarnation of the home that the last attempt was submitted to.
     home_incarnation: u64,
-    asked_at_ms: u64,
-    resends_at_ms: Option<u64>,
-    is_over: bool,
+    submitted_at_ms: u64,
+    resubmits_at_ms: Option<u64>,
+    is_finished: bool,
 }
 
-/// A fault that ends again.
+/// A fault that lasts for a while.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Kill(usize),
@@ -68,17 +68,17 @@
     Freeze(usize),
     Cut(usize, usize),
     CutOneWay(usize, usize),
-    Held(usize, usize),
+    HeldMessages(usize, usize),
     DataCentreCut(usize),
     StoreCut(usize),
     StoreDown,
-    Dark(usize),
-    Reborn(usize),
-    Path(usize, usize, PathLoss),
+    UnresponsiveUpstream(usize),
+    UpstreamRestart(usize),
+    UpstreamPath(usize, usize, PathLoss),
     Orders(OrderFault),
 }
 
-struct Course {
+struct Scenario {
     site: RunSite,
     callers: Vec<Caller>,
     faults: Vec<(u64, Fault)>,
@@ -91,7 +91,7 @@
 const DATA_CENTRES: u32 = 3;
 const INSTANCES: u32 = 2;
 
-impl Course {
+impl Scenario {
     fn start(seed: u64, caller_wait_ms: u64) -> Self {
         let mut site = RunSite::start(&SitePlan {
             seed,
@@ -100,7 +100,7 @@
         site.set_caller_wait(Some(Duration::from_millis(caller_wait_ms)));
         site.run_ms(1_000);
         let nodes = site.nodes();
-        Course {
+        Scenario {
             site,
             callers: Vec::new(),
             faults: Vec::new(),
@@ -115,33 +115,33 @@
         usize::try_from(self.site.chance(bound as u64)).unwrap_or_default()
     }
 
-    fn play(&mut self) {
-        let until_ms = self.site.now_ms() + COURSE_MS;
-        while self.site.now_ms() < until_ms {
+    fn run(&mut self) {
+        let end_ms = self.site.now_ms() + ACTIVE_MS;
+        while self.site.now_ms() < end_ms {
             if self.chance(3) == 0 {
-                self.submit_new();
+                self.add_caller();
             }
             if self.chance(40) == 0 {
                 self.begin_fault();
             }
             self.end_faults(false);
-            self.look_at_callers();
+            self.update_callers();
             self.site.run_ms(STEP_MS);
         }
         self.end_faults(true);
         for _ in 0..((self.caller_wait_ms + 3_500) / STEP_MS) {
-            self.look_at_callers();
+            self.update_callers();
             self.site.run_ms(STEP_MS);
         }
     }
 
-    fn submit_new(&mut self) {
-        let works_ms: &[u64] = match self.caller_wait_ms {
+    fn add_caller(&mut self) {
+        let work_choices_ms: &[u64] = match self.caller_wait_ms {
             SHORT_WAIT_MS => &[60, 200, 500, 900],
             // Longer than a lease.
             _ => &[60, 500, 1_600],
         };
-        let work_ms = works_ms[self.chance(works_ms.len())];
+        let work_ms = work_choices_ms[self.chance(work_choices_ms.len())];
         let tasks = 1 + self.site.chance(4) as u32;
         let caller = Caller {
             id: format!("{:016x}", self.next_job),
@@ -150,55 +150,55 @@
             attempts: 0,
             home: 0,
             home_incarnation: 0,
-            asked_at_ms: 0,
-            resends_at_ms: Some(self.site.now_ms()),
-            is_over: false,
+            submitted_at_ms: 0,
+            resubmits_at_ms: Some(self.site.now_ms()),
+            is_finished: false,
         };
         self.next_job += 1;
         self.callers.push(caller);
     }
 
-    fn look_at_callers(&mut self) {
+    fn update_callers(&mut self) {
         for index in 0..self.callers.len() {
-            if !self.callers[index].is_over {
-                self.look_at(index);
+            if !self.callers[index].is_finished {
+                self.update_caller(index);
             }
         }
     }
 
-    fn look_at(&mut self, index: usize) {
+    fn update_caller(&mut self, index: usize) {
         let now_ms = self.site.now_ms();
-        if let Some(at_ms) = self.callers[index].resends_at_ms {
+        if let Some(at_ms) = self.callers[index].resubmits_at_ms {
             if at_ms <= now_ms {
-                self.ask(index);
+                self.submit_attempt(index);
             }
             return;
         }
-        let reset = self.chance(400) == 0;
+        let drops_connection = self.chance(400) == 0;
         let caller = &mut self.callers[index];
-        let is_home_dead =
+        let is_home_down =
             self.incarnations[caller.home] != caller.home_incarnation || self.down[caller.home];
-        let waits_too_long = now_ms >= caller.asked_at_ms + self.caller_wait_ms;
-        let asked_at = Timestamp::ZERO + Duration::from_millis(caller.asked_at_ms);
+        let waits_too_long = now_ms >= caller.submitted_at_ms + self.caller_wait_ms;
+        let asked_at = Timestamp::ZERO + Duration::from_millis(caller.submitted_at_ms);
         let answer = self.site.answer(&caller.id);
         match answer.filter(|answer| answer.asked_at >= asked_at) {
             Some(answer) => match answer.answer {
-                RunAnswer::GivenUp(_) => caller.resends_at_ms = Some(now_ms + RESEND_MS),
-                _ => caller.is_over = true,
+                RunAnswer::GivenUp(_) => caller.resubmits_at_ms = Some(now_ms + RESUBMIT_DELAY_MS),
+                _ => caller.is_finished = true,
             },
-            None if is_home_dead => caller.resends_at_ms = Some(now_ms + RESEND_MS),
-            None if reset || waits_too_long => {
+            None if is_home_down => caller.resubmits_at_ms = Some(now_ms + RESUBMIT_DELAY_MS),
+            None if drops_connection || waits_too_long => {
                 let id = caller.id.clone();
-                caller.resends_at_ms = Some(now_ms + RESEND_MS);
+                caller.resubmits_at_ms = Some(now_ms + RESUBMIT_DELAY_MS);
                 self.site.drop_caller(&id);
             }
             None => {}
         }
     }
 
-    fn ask(&mut self, index: usize) {
+    fn submit_attempt(&mut self, index: usize) {
         if self.callers[index].attempts >= MAX_ATTEMPTS {
-            self.callers[index].is_over = true;
+            self.callers[index].is_finished = true;
             return;
         }
         let home = self.chance(self.down.len());
@@ -209,18 +209,18 @@
         caller.attempts += 1;
         caller.home = home;
         caller.home_incarnation = self.incarnations[home];
-        caller.asked_at_ms = self.site.now_ms();
-        caller.resends_at_ms = None;
+        caller.submitted_at_ms = self.site.now_ms();
+        caller.resubmits_at_ms = None;
         let job = run_job(caller.tasks, 6_800, caller.work_ms);
         self.site.submit(home, "look", &caller.id, &job);
     }
 
-    fn draw(&mut self) -> Fault {
+    fn random_fault(&mut self) -> Fault {
         let node = self.chance(self.down.len());
         let other = (node + 1 + self.chance(self.down.len() - 1)) % self.down.len();
         let upstream = self.chance(self.site.upstreams());
-        let losses = [PathLoss::Orders, PathLoss::Answers];
-        let loss = losses[self.chance(losses.len())];
+        let loss_choices = [PathLoss::Orders, PathLoss::Answers];
+        let loss = loss_choices[self.chance(loss_choices.len())];
         let orders = [(10, 0), (0, 20), (10, 10), (50, 0)];
         let (late_percent, unanswered_percent) = orders[self.chance(orders.len())];
         let faults = [
@@ -229,13 +229,13 @@
             Fault::Freeze(node),
             Fault::Cut(node, other),
             Fault::CutOneWay(node, other),
-            Fault::Held(node, other),
+            Fault::HeldMessages(node, other),
             Fault::DataCentreCut(self.chance(DATA_CENTRES as usize)),
             Fault::StoreCut(node),
             Fault::StoreDown,
-            Fault::Dark(upstream),
-            Fault::Reborn(upstream),
-            Fault::Path(node, upstream, loss),
+            Fault::UnresponsiveUpstream(upstream),
+            Fault::UpstreamRestart(upstream),
+            Fault::UpstreamPath(node, upstream, loss),
             Fault::Orders(OrderFault {
                 late_percent,
                 unanswered_percent,
@@ -245,7 +245,7 @@
     }
 
     fn begin_fault(&mut self) {
-        let fault = self.draw();
+        let fault = self.random_fault();
         if let Fault::Kill(node) | Fault::Stop(node) | Fault::Freeze(node) = fault {
             let is_busy = self.faults.iter().any(|(_, other)| match other {
                 Fault::Kill(at) | Fault::Stop(at) | Fault::Freeze(at) => *at == node,
@@ -255,9 +255,9 @@
                 return;
             }
         }
-        let lasts_ms = [30, 80, 300, 900, 2_000][self.chance(5)];
-        self.faults.push((self.site.now_ms() + lasts_ms, fault));
-        self.set(fault, true);
+        let duration_ms = [30, 80, 300, 900, 2_000][self.chance(5)];
+        self.faults.push((self.site.now_ms() + duration_ms, fault));
+        self.set_fault(fault, true);
     }
 
     fn end_faults(&mut self, all: bool) {
@@ -265,11 +265,11 @@
         let is_due = |entry: &mut (u64, Fault)| all || entry.0 <= now_ms;
         let due: Vec<(u64, Fault)> = self.faults.extract_if(.., is_due).collect();
         for (_, fault) in due {
-            self.set(fault, false);
+            self.set_fault(fault, false);
         }
     }
 
-    fn set(&mut self, fault: Fault, is_on: bool) {
+    fn set_fault(&mut self, fault: Fault, is_on: bool) {
         match fault {
             Fault::Kill(node) => self.set_down(node, is_on),
             Fault::Stop(node) => match is_on {
@@ -286,19 +286,19 @@
             },
             Fault::Cut(one, other) => self.site.cut(one, other, is_on),
             Fault::CutOneWay(from, to) => self.site.cut_one_way(from, to, is_on),
-            Fault::Held(from, to) => self.site.hold_messages(from, to, is_on),
+            Fault::HeldMessages(from, to) => self.site.hold_messages(from, to, is_on),
             Fault::DataCentreCut(data_centre) => self.cut_data_centre(data_centre, is_on),
             Fault::StoreCut(node) => self.site.cut_from_store(node, is_on),
             Fault::StoreDown => self.site.set_store_down(is_on),
-            Fault::Dark(upstream) => match is_on {
+            Fault::UnresponsiveUpstream(upstream) => match is_on {
                 true => self
                     .site
                     .set_upstream_fault(upstream, Some(UpstreamFault::Dark)),
                 false => self.site.restart_upstream(upstream),
             },
-            Fault::Reborn(upstream) if is_on => self.site.restart_upstream(upstream),
-            Fault::Reborn(_) => {}
-            Fault::Path(node, upstream, loss) => {
+            Fault::UpstreamRestart(upstream) if is_on => self.site.restart_upstream(upstream),
+            Fault::UpstreamRestart(_) => {}
+            Fault::UpstreamPath(node, upstream, loss) => {
                 let loss = is_on.then_some(loss);
                 self.site.set_upstream_path(node, upstream, loss);
             }
@@ -332,11 +332,11 @@
             }
             self.site.cut_from_store(node, is_cut);
         }
-        let of_each = self.site.upstreams() / DATA_CENTRES as usize;
+        let upstreams_per_data_centre = self.site.upstreams() / DATA_CENTRES as usize;
         let loss = is_cut.then_some(PathLoss::Orders);
         for upstream in 0..self.site.upstreams() {
             for node in 0..self.down.len() {
-                if inside.contains(&node) != (upstream / of_each == data_centre) {
+                if inside.contains(&node) != (upstream / upstreams_per_data_centre == data_centre) {
                     self.site.set_upstream_path(node, upstream, loss);
                 }
             }
@@ -344,8 +344,8 @@
     }
 }
 
-/// The seeds that the environment names.
-fn wanted_seeds() -> Option<Range<u64>> {
+/// The seeds that `RUN_FAULTS_SEEDS` requests.
+fn requested_seeds() -> Option<Range<u64>> {
     let text = env::var("RUN_FAULTS_SEEDS").ok()?;
     let ends = text.split_once("..");
     let ends = ends.and_then(|(from, to)| Some(from.parse().ok()?..to.parse().ok()?));
@@ -354,29 +354,30 @@
 
 #[test]
 fn no_task_runs_twice_at_a_time_under_random_faults() {
-    let seeds = wanted_seeds().map_or_else(|| SEEDS.chain(FAILED_SEEDS).collect(), Vec::from_iter);
-    play(seeds, SHORT_WAIT_MS);
+    let seeds =
+        requested_seeds().map_or_else(|| SEEDS.chain(REGRESSION_SEEDS).collect(), Vec::from_iter);
+    run_seeds(seeds, SHORT_WAIT_MS);
 }
 
 #[test]
 fn no_task_runs_twice_at_a_time_while_callers_wait_long() {
-    let seeds = wanted_seeds().unwrap_or(LONG_WAIT_SEEDS);
-    play(seeds, LONG_WAIT_MS);
+    let seeds = requested_seeds().unwrap_or(LONG_WAIT_SEEDS);
+    run_seeds(seeds, LONG_WAIT_MS);
 }
 
-/// Guards against a start of before that is carried out on an upstream which has started again and
-/// which its owner has not looked at since.
+/// Guards against a start for an upstream's earlier incarnation that takes effect in the next one,
+/// before the owner has listed the upstream's runs again.
 #[test]
 fn no_late_start_takes_effect_on_an_upstream_that_has_just_started_again() {
-    play([110], LONG_WAIT_MS);
+    run_seeds([110], LONG_WAIT_MS);
 }
 
-fn play(seeds: impl IntoIterator<Item = u64>, caller_wait_ms: u64) {
+fn run_seeds(seeds: impl IntoIterator<Item = u64>, caller_wait_ms: u64) {
     let mut failed = Vec::new();
     for seed in seeds {
-        let mut course = Course::start(seed, caller_wait_ms);
-        course.play();
-        let violations = course.site.violations();
+        let mut scenario = Scenario::start(seed, caller_wait_ms);
+        scenario.run();
+        let violations = scenario.site.violations();
         if !violations.is_empty() {
             failed.push(format!("seed {seed}: {violations:?}"));
         }
