--- a/lib/src/runs/peer_table.rs
+++ b/lib/src/runs/peer_table.rs
@@ -41,7 +41,7 @@
     /// Since when the roster has not listed it.
     unlisted_since: Option<Timestamp>,
     pub(crate) is_leaving: bool,
-    /// The latest reading of its clock, and the time of arrival on the own clock.
+    /// The latest reading of its clock, and when it arrived on this instance's clock.
     clock: Option<(Timestamp, Timestamp)>,
     /// When its last fresh message arrived; `None` before the first one and once it is unreachable.
     pub(crate) last_contact_at: Option<Timestamp>,
@@ -171,8 +171,8 @@
 
     /// Forgets unreachable instances that have been off the roster for long; returns them.
     ///
-    /// They are kept for a while, since one that was partitioned may be reachable again before it has
-    /// registered again at the store.
+    /// They are kept for a while, since an instance that was cut off from everything may be reachable
+    /// again before it reaches the store.
     pub(crate) fn forget_unlisted(&mut self, now: Timestamp) -> Vec<(PeerKey, Incarnation)> {
         let gone = self.peers.iter();
         let gone = gone.filter(|(_, peer)| {
@@ -190,10 +190,11 @@
         gone
     }
 
-    /// Records a message; returns its sender and its freshness, or `None` when the sender is unknown
+    /// Records a message; returns its sender and freshness, or `None` when the sender is unknown
     /// or its incarnation has ended.
     ///
-    /// `replaced` gets the sender's former incarnation when this message is the first of a new one.
+    /// `echo` is the sender's estimate of this instance's clock. `replaced` gets the sender's former
+    /// incarnation when this message is the first of a new one.
     pub(crate) fn record_message(
         &mut self,
         now: Timestamp,
--- a/lib/src/runs/roster_watch.rs
+++ b/lib/src/runs/roster_watch.rs
@@ -13,7 +13,7 @@
 /// dead: two and a half heartbeats.
 pub(crate) const DEAD_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The delay from one instance's turn_delay to remove a dead member to the next instance's turn_delay.
+/// The delay between the turns of two successive instances to remove a dead member.
 const REMOVAL_TURN: Duration = Duration::from_millis(300);
 
 /// The row version of each member and when this instance first saw it.
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -103,6 +103,7 @@
     pub(crate) peers: PeerTable,
     pub(crate) listing: UpstreamListing,
     pub(crate) intended: Option<Arc<IntendedState>>,
+    /// The stored bytes of the intended state, for passing it on.
     intended_body: Bytes,
     decoder: Box<dyn IntendedDecoder>,
     pub(crate) roster: Roster,
@@ -112,6 +113,7 @@
     /// The instances with which this one exchanges heartbeats.
     neighbours: Vec<Arc<str>>,
     is_leaving: bool,
+    /// The load of the last report: the free processor, and whether tasks were queued.
     reported_free_millicores: u32,
     reported_has_queue: bool,
     reported_at: Timestamp,
@@ -267,6 +269,7 @@
         self.send_reports();
     }
 
+    /// Replaces the intended state if the version is newer.
     fn install_intended_state(&mut self, state: Arc<IntendedState>, body: Bytes) {
         let current = self.intended.as_ref().map_or(0, |state| state.version);
         if state.version <= current {
@@ -290,6 +293,7 @@
         }
     }
 
+    /// Applies a version of the roster, unless a newer one was read before.
     fn apply_roster(&mut self, roster: Roster) {
         if roster.version < self.roster.version {
             return;
@@ -344,6 +348,7 @@
             .reassign(self.now, &assigned, self.roster.version);
     }
 
+    /// Checks what depends on the time, and sends heartbeats.
     fn on_heartbeat_due(&mut self) {
         let next = self.now + HEARTBEAT_INTERVAL;
         self.timers.subscribe(next, DispatcherTimer::Heartbeat);
@@ -535,6 +540,7 @@
         self.send_as_of(self.now, peer, message);
     }
 
+    /// Sends a message that was first to be sent at `sent_at`.
     fn send_as_of(&mut self, sent_at: Timestamp, peer: PeerKey, message: RunMessage) {
         let Some(peer) = self.peers.peers.get(peer) else {
             return;
@@ -554,6 +560,7 @@
         self.actions.push(RunAction::Answer { request, answer });
     }
 
+    /// Handles a message, unless it is for an earlier incarnation of this instance.
     fn handle_message(&mut self, sender: &PeerIdentity, timed: TimedRunMessage) {
         let mut replaced = None;
         let is_for_this_incarnation = timed.receiver == self.settings.incarnation;
@@ -620,6 +627,7 @@
             .compare_held(self.now, owner, &report.held, report.highest_taken);
     }
 
+    /// Records the load of a peer, and requests its intended state if that is newer.
     fn record_digest(&mut self, peer: PeerKey, digest: RunDigest) {
         let own_version = self.intended.as_ref().map_or(0, |state| state.version);
         if digest.intended_version > own_version {
@@ -656,6 +664,7 @@
         }
     }
 
+    /// Fails a batch that was not sent; other messages that are not repeated are sent again later.
     fn peer_not_sent(&mut self, instance: &str, message: TimedRunMessage) {
         let Some(peer) = self.peers.by_name(instance) else {
             return;
@@ -686,14 +695,14 @@
         }
     }
 
-    /// Sends unsent messages again, except those that their receiver can no longer act on.
+    /// Sends unsent messages again, except those that are old or for another incarnation.
     fn resend_unsent(&mut self) {
         for unsent in std::mem::take(&mut self.unsent) {
-            let may_still_act = self.now.since(unsent.sent_at) < PEER_TIMEOUT;
+            let is_recent = self.now.since(unsent.sent_at) < PEER_TIMEOUT;
             let peer = self.peers.peers.get(unsent.peer);
             let is_same_incarnation =
                 peer.is_some_and(|peer| peer.incarnation == unsent.incarnation);
-            if may_still_act && is_same_incarnation {
+            if is_recent && is_same_incarnation {
                 self.send_as_of(unsent.sent_at, unsent.peer, unsent.message);
             } else {
                 let peer = peer.map_or("unknown", |peer| &peer.name);
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -78,10 +78,12 @@
     Orders(OrderFault),
 }
 
+/// A simulated site with its callers and faults.
 struct Scenario {
     site: RunSite,
     callers: Vec<Caller>,
     faults: Vec<(u64, Fault)>,
+    /// How often each instance has started.
     incarnations: Vec<u64>,
     down: Vec<bool>,
     next_job: u64,
