--- a/lib/src/runs/assignment.rs
+++ b/lib/src/runs/assignment.rs
@@ -29,26 +29,27 @@
     roster: &'a Roster,
     listing: &'a UpstreamListing,
 ) -> impl Iterator<Item = (&'a Arc<ListedUpstream>, Option<&'a str>)> {
-    let mut owners: IndexMap<&str, Vec<&str>> = IndexMap::new();
+    let mut candidates: IndexMap<&str, Vec<&str>> = IndexMap::new();
     listing.iter().map(move |upstream| {
         let data_centre: &str = &upstream.data_centre;
-        let owners = owners
+        let candidates = candidates
             .entry(data_centre)
             .or_insert_with(|| candidate_owners(data_centre, roster));
-        let owner = rendezvous_owner(&upstream.id, owners);
-        (upstream, owner.map(|owner| owners[owner]))
+        let owner = rendezvous_owner(&upstream.id, candidates);
+        (upstream, owner.map(|owner| candidates[owner]))
     })
 }
 
+/// The instances that may own the upstreams of a data centre, ordered by name.
 fn candidate_owners<'a>(data_centre: &str, roster: &'a Roster) -> Vec<&'a str> {
     let staying = || roster.members.iter().filter(|member| !member.leaving);
     let near = staying().filter(|member| &*member.data_centre == data_centre);
-    let mut owners: Vec<&str> = near.map(name).collect();
-    if owners.is_empty() {
-        owners = staying().map(name).collect();
+    let mut candidates: Vec<&str> = near.map(name).collect();
+    if candidates.is_empty() {
+        candidates = staying().map(name).collect();
     }
-    owners.sort_unstable();
-    owners
+    candidates.sort_unstable();
+    candidates
 }
 
 fn name(member: &Member) -> &str {
--- a/lib/src/runs/roster.rs
+++ b/lib/src/runs/roster.rs
@@ -16,7 +16,7 @@
 pub struct Roster {
     /// The version; it increases with every change of the table.
     pub version: u64,
-    /// The instances, ordered by name.
+    /// The instances, in no particular order.
     pub members: Vec<Member>,
 }
 
--- a/lib/src/runs/roster_watch.rs
+++ b/lib/src/runs/roster_watch.rs
@@ -14,7 +14,7 @@
 pub(crate) const DEAD_MEMBER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The delay between the turns of two successive instances to remove a dead member.
-const REMOVAL_TURN: Duration = Duration::from_millis(300);
+const REMOVAL_TURN_DELAY: Duration = Duration::from_millis(300);
 
 /// The row version of each member and when this instance first saw it.
 #[derive(Debug, Default)]
@@ -69,7 +69,7 @@
         let others = rows.filter(|(name, _)| &***name != own);
         let dead = others.filter(|(name, (_, changed_at))| {
             let unchanged_for = now.since((*changed_at).max(store_since));
-            let turn_delay = REMOVAL_TURN * removal_rank(own, name, roster);
+            let turn_delay = REMOVAL_TURN_DELAY * removal_rank(own, name, roster);
             !is_reachable(name) && unchanged_for >= DEAD_MEMBER_TIMEOUT + turn_delay
         });
         let dead = dead.map(|(name, (version, _))| (name.clone(), *version));
