--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -385,7 +385,7 @@
         let order = RunOrder::Renew {
             lease_until_ms,
             fence: upstream.fence,
-            seen_end: upstream.seen_end,
+            acknowledged_end: upstream.acknowledged_end,
             wait,
         };
         self.give(now, on, PendingKind::Renew, order);
@@ -399,7 +399,7 @@
         let order = RunOrder::Renew {
             lease_until_ms: None,
             fence: upstream.fence,
-            seen_end: upstream.seen_end,
+            acknowledged_end: upstream.acknowledged_end,
             wait: Duration::ZERO,
         };
         self.give(now, on, PendingKind::Probe, order);
@@ -455,10 +455,10 @@
         let mut found = Vec::new();
         for row in ended {
             let upstream = &mut self.upstreams[on];
-            if row.number <= upstream.seen_end {
+            if row.number <= upstream.acknowledged_end {
                 continue;
             }
-            upstream.seen_end = row.number;
+            upstream.acknowledged_end = row.number;
             brought_news = true;
             let Some(run) = row.run else {
                 continue;
@@ -758,7 +758,7 @@
         tracing::warn!(upstream = %id, ?born_unix_ms, "upstream lives another life");
         upstream.born_unix_ms = born_unix_ms;
         upstream.raise_fence();
-        upstream.seen_end = 0;
+        upstream.acknowledged_end = 0;
         upstream.contact = Contact::Taking;
         upstream.unclaimed_runs.clear();
         upstream.found_ends.clear();
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -48,7 +48,7 @@
         /// The ownership under which the order is given.
         fence: u64,
         /// The number of the last end that was taken note of; those up to it are forgotten.
-        seen_end: u64,
+        acknowledged_end: u64,
         /// How long the answer may wait for an end.
         wait: Duration,
     },
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -831,10 +831,10 @@
             RunOrder::Renew {
                 lease_until_ms,
                 fence,
-                seen_end,
+                acknowledged_end,
                 wait,
             } => {
-                let result = state.renew(now, *lease_until_ms, *fence, *seen_end);
+                let result = state.renew(now, *lease_until_ms, *fence, *acknowledged_end);
                 if result.is_ok() && state.ended.is_empty() && !wait.is_zero() {
                     state.renews.push(WaitingRenew {
                         node,
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -187,19 +187,19 @@
         self.next_end += 1;
     }
 
-    /// Takes a hold; the ends up to `seen_end` are forgotten.
+    /// Takes a hold; the ends up to `acknowledged_end` are forgotten.
     pub(super) fn renew(
         &mut self,
         now: Timestamp,
         lease_until_ms: Option<u64>,
         fence: u64,
-        seen_end: u64,
+        acknowledged_end: u64,
     ) -> Result<(), OrderRefusal> {
         self.check_fence(fence)?;
         if let Some(until_ms) = lease_until_ms {
             self.extend_lease(now, until_ms);
         }
-        self.ended.retain(|row| row.number > seen_end);
+        self.ended.retain(|row| row.number > acknowledged_end);
         Ok(())
     }
 
