--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -101,7 +101,7 @@
         for _ in 0..step.tasks {
             let placement_request = PlacementRequest {
                 expected_run_time: *run,
-                is_run_known: false,
+                is_run_time_known: false,
                 objective_left: wait,
                 deadline_left: wait,
             };
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -116,7 +116,7 @@
     pub(crate) fn placement_request(&self, now: Timestamp, task: TaskIndex) -> PlacementRequest {
         PlacementRequest {
             expected_run_time: self.expected_run_time(task),
-            is_run_known: self.tasks[task].placed.known_run_time.is_some(),
+            is_run_time_known: self.tasks[task].placed.known_run_time.is_some(),
             objective_left: self.objective_left(now),
             deadline_left: self.deadline.since(now),
         }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -168,7 +168,7 @@
         let expected_run_time = self.expected_run_times[task.step as usize];
         PlacementRequest {
             expected_run_time: task.known_run_time.unwrap_or(expected_run_time),
-            is_run_known: task.known_run_time.is_some(),
+            is_run_time_known: task.known_run_time.is_some(),
             objective_left: self.objective_at.since(now),
             deadline_left: self.deadline.since(now),
         }
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -93,7 +93,7 @@
             has_capacity: true,
         });
     }
-    if task.is_run_known {
+    if task.is_run_time_known {
         // Only an upstream that is fast enough helps, and none is free: the home looks again.
         return None;
     }
--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -11,7 +11,7 @@
     /// Its expected run time on an upstream of usual speed.
     pub expected_run_time: Duration,
     /// Whether that is known from its progress elsewhere, not from what was declared.
-    pub is_run_known: bool,
+    pub is_run_time_known: bool,
     /// How long until its job is to end.
     pub objective_left: Duration,
     /// How long until its caller leaves.
@@ -87,12 +87,12 @@
     /// Whether the task surely ends after its caller has left if it runs there.
     fn is_infeasible_on(&self, candidate: &CandidateUpstream) -> bool {
         let run = self.expected_run_time * candidate.slowness_percent / 100;
-        self.is_run_known && run > self.deadline_left
+        self.is_run_time_known && run > self.deadline_left
     }
 
     fn is_in_time(&self, candidate: &CandidateUpstream) -> bool {
         let run = self.expected_run_time * candidate.slowness_percent / 100;
-        let safety_percent = match self.is_run_known {
+        let safety_percent = match self.is_run_time_known {
             true => KNOWN_SAFETY_PERCENT,
             false => DECLARED_SAFETY_PERCENT,
         };
