--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -79,7 +79,7 @@
         }
         let is_impossible = spec.steps.iter().any(|step| {
             let label = step.required_label.as_deref();
-            !self.listing.could_run(service, step.demand, label)
+            !self.listing.can_ever_run(service, step.demand, label)
         });
         is_impossible.then(|| not_run(NotRun::NeedsNoUpstreamHas, None))
     }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -265,7 +265,7 @@
             return self.refuse_all(key, NotStarted::Leaving);
         }
         for task in 0..self.batches[key].tasks.len() {
-            if self.could_run(key, task) {
+            if self.can_ever_run(key, task) {
                 self.queue.push((key, task));
             } else {
                 self.report(key, task, RunEnd::NotStarted(NotStarted::NoUpstream));
@@ -371,7 +371,7 @@
     }
 
     /// Whether some upstream here could run the task when nothing else ran.
-    fn could_run(&self, key: HeldBatchKey, task: TaskIndex) -> bool {
+    fn can_ever_run(&self, key: HeldBatchKey, task: TaskIndex) -> bool {
         let batch = &self.batches[key];
         let demand = batch.demand(task);
         self.upstreams.values().any(|upstream| {
--- a/lib/src/runs/upstream_listing.rs
+++ b/lib/src/runs/upstream_listing.rs
@@ -97,7 +97,12 @@
     }
 
     /// Whether some listed upstream of the service could run such a task when nothing else ran.
-    pub(crate) fn could_run(&self, service: &str, demand: Resources, label: Option<&str>) -> bool {
+    pub(crate) fn can_ever_run(
+        &self,
+        service: &str,
+        demand: Resources,
+        label: Option<&str>,
+    ) -> bool {
         self.iter().any(|upstream| {
             let has_label = label.is_none_or(|label| upstream.has_label(label));
             &*upstream.service == service && demand.fits(upstream.capacity) && has_label
