--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -393,7 +393,7 @@
     }
 
     /// Drops the batches of a home that it does not hold open, among those it has sent.
-    pub(crate) fn keep_only(
+    pub(crate) fn drop_closed_batches(
         &mut self,
         now: Timestamp,
         home: Incarnation,
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -607,7 +607,7 @@
         let owner = OwnerRef::Peer(peer);
         self.take_digest(peer, report.digest);
         self.owner
-            .keep_only(self.now, home, &report.open, report.highest_sent);
+            .drop_closed_batches(self.now, home, &report.open, report.highest_sent);
         self.home
             .compare_held(self.now, owner, &report.held, report.highest_taken);
     }
