--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -450,7 +450,7 @@
     /// The batches of a home that are held, and the highest number taken.
     ///
     /// A batch that was dropped counts as held until the last of its runs has surely ended.
-    pub(crate) fn held_of(&self, now: Timestamp, home: Incarnation) -> (Vec<u64>, u64) {
+    pub(crate) fn held_batches_of(&self, now: Timestamp, home: Incarnation) -> (Vec<u64>, u64) {
         let runs = self.upstreams.values().flat_map(|on| on.runs.values());
         let stopping = runs.filter_map(|run| run.dropped_from);
         let lingering = self.lingering.iter().filter(|(_, until)| **until > now);
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -710,7 +710,7 @@
             .map(|(key, peer)| (key, peer.incarnation))
             .collect();
         for (peer, incarnation) in peers {
-            let (held, highest_taken) = self.owner.held_of(self.now, incarnation);
+            let (held, highest_taken) = self.owner.held_batches_of(self.now, incarnation);
             let open = self.home.open_at(OwnerRef::Peer(peer));
             let state = &self.peers.peers[peer];
             let is_neighbour = self.neighbours.contains(&state.name) || state.is_back(self.now);
