--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -250,7 +250,7 @@
     }
 
     /// Gives an upstream no more work that is listed no more; what it still runs is followed.
-    pub(crate) fn forget(&mut self, id: &str) {
+    pub(crate) fn release_unlisted(&mut self, id: &str) {
         if let Some(key) = self.by_id.get(id).copied() {
             self.release(key);
         }
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -281,7 +281,7 @@
     fn forget_upstreams(&mut self, gone: &[Arc<str>]) {
         for id in gone {
             tracing::info!(upstream = %id, "upstream gone");
-            self.owner.forget(id);
+            self.owner.release_unlisted(id);
         }
     }
 
