--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::held_batch::LEAST_RUN;
+use super::held_batch::MIN_RUN_TIME_SHARE;
 use super::home::NewJob;
 use super::home::RETRY_AFTER_OVERLOAD;
 use super::home::longest_chain;
@@ -113,7 +113,7 @@
         }
     }
     let chain = longest_chain(spec, expected);
-    if longest_wait + chain.mul_f64(LEAST_RUN) > wait {
+    if longest_wait + chain.mul_f64(MIN_RUN_TIME_SHARE) > wait {
         let retry_after = longest_wait.max(MIN_RETRY_AFTER);
         return Err(not_run(NotRun::Overloaded, Some(retry_after)));
     }
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -131,8 +131,8 @@
     pub(crate) fn start_by(&self, task: TaskIndex) -> Timestamp {
         let left = self.deadline.since(Timestamp::ZERO);
         let share = match self.tasks[task].placed.known_run_time {
-            Some(_) => LEAST_KNOWN_RUN,
-            None => LEAST_RUN,
+            Some(_) => MIN_KNOWN_RUN_TIME_SHARE,
+            None => MIN_RUN_TIME_SHARE,
         };
         let least = self.expected_run_time(task).mul_f64(share);
         Timestamp::ZERO + left.saturating_sub(least)
@@ -173,10 +173,10 @@
 
 /// The share of its expected run time that a task needs at the least: upstreams run up to a
 /// quarter faster than the usual one, and a declared time may be twice the true one.
-pub(crate) const LEAST_RUN: f64 = 0.4;
+pub(crate) const MIN_RUN_TIME_SHARE: f64 = 0.4;
 
 /// The share of a known run time that a task needs at the least.
-pub(crate) const LEAST_KNOWN_RUN: f64 = 0.78;
+pub(crate) const MIN_KNOWN_RUN_TIME_SHARE: f64 = 0.78;
 
 /// The work of a task in milliseconds of one core.
 pub(crate) fn core_ms(cpu_millicores: u32, run: Duration) -> u64 {
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::held_batch::LEAST_KNOWN_RUN;
-use super::held_batch::LEAST_RUN;
+use super::held_batch::MIN_KNOWN_RUN_TIME_SHARE;
+use super::held_batch::MIN_RUN_TIME_SHARE;
 use super::home_task::HomeState;
 use super::home_task::HomeTask;
 use super::intended_state::JobQueueSettings;
@@ -143,8 +143,8 @@
     pub(crate) fn min_run_time(&self, task: usize) -> Duration {
         let task = &self.tasks[task];
         match task.known_run_time {
-            Some(known) => known.mul_f64(LEAST_KNOWN_RUN),
-            None => self.expected_run_times[task.step as usize].mul_f64(LEAST_RUN),
+            Some(known) => known.mul_f64(MIN_KNOWN_RUN_TIME_SHARE),
+            None => self.expected_run_times[task.step as usize].mul_f64(MIN_RUN_TIME_SHARE),
         }
     }
 
