--- a/lib/src/runs/listed_upstream.rs
+++ b/lib/src/runs/listed_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams as they list themselves at the platform.
+//! The entries with which upstreams list themselves at the platform.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,39 +7,39 @@
 
 use super::resources::Resources;
 
-/// One upstream's own entry.
+/// An upstream's entry in the platform's list.
 #[value]
 pub struct ListedUpstream {
     /// Its unique name.
     pub id: Arc<str>,
     /// The service whose tasks it runs.
     pub service: Arc<str>,
-    /// Where it takes orders.
+    /// The address that takes orders.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: Arc<str>,
     /// Whether it is about to leave and takes no new work.
     pub draining: bool,
-    /// What it has in all.
+    /// Its whole capacity, free or in use.
     pub capacity: Resources,
     /// Its kind and its rack.
     pub labels: Vec<Arc<str>>,
-    /// When this life of it began, in milliseconds since the Unix epoch, where it says so.
+    /// When its current incarnation began, in milliseconds since the Unix epoch, where it reports that.
     pub born_unix_ms: Option<u64>,
 }
 
 impl ListedUpstream {
-    /// Whether it has a label.
+    /// Whether it has this label.
     pub(crate) fn has_label(&self, label: &str) -> bool {
         self.labels.iter().any(|own| &**own == label)
     }
 }
 
-/// A change of the list.
+/// A change in the list of upstreams.
 #[value]
 pub enum ListingChange {
-    /// The upstream is listed so now.
+    /// The upstream is listed with this entry from now on.
     Listed(Arc<ListedUpstream>),
-    /// The upstream with this name is listed no more.
+    /// The upstream with this name is no longer listed.
     Removed(Arc<str>),
 }
--- a/lib/src/runs/resources.rs
+++ b/lib/src/runs/resources.rs
@@ -1,4 +1,4 @@
-//! What a task needs and what an upstream has: processor, memory, accelerators.
+//! Amounts of processor, memory and accelerators: what a task demands, and what an upstream has.
 
 use std::ops::AddAssign;
 use std::ops::SubAssign;
@@ -18,14 +18,14 @@
 }
 
 impl Resources {
-    /// Whether this much fits into `other`.
+    /// Whether this amount fits into `other` in each part.
     pub fn fits(self, other: Resources) -> bool {
         self.cpu_millicores <= other.cpu_millicores
             && self.memory_mb <= other.memory_mb
             && self.accelerators <= other.accelerators
     }
 
-    /// What is left of this after taking `used`, zero in each part that `used` exceeds.
+    /// What is left of this without `used`, zero in each part that `used` exceeds.
     #[must_use]
     pub fn minus(self, used: Resources) -> Resources {
         Resources {
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams, and what came back.
+//! Orders to upstreams, and their answers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,53 +8,53 @@
 
 use super::run_id::RunId;
 
-/// An order with the upstream that it is for.
+/// An order with the address of its upstream.
 #[value]
 pub struct AddressedOrder {
-    /// The name of the upstream's life.
+    /// The name of the upstream; another one at its address refuses the order.
     pub upstream: Arc<str>,
-    /// Where it takes orders.
+    /// The address that takes orders.
     pub address: SocketAddr,
     /// The order.
     pub order: RunOrder,
 }
 
-/// An order to an upstream.
+/// An order to an upstream about its runs.
 #[value]
 pub enum RunOrder {
     /// Start a run.
     Start {
         /// The run.
         run: RunId,
-        /// The job's text.
+        /// The job's text, passed on to the task.
         spec: Arc<str>,
-        /// How long the upstream may keep running without another order, on its own clock.
+        /// When the lease ends on the upstream's clock, in milliseconds; without another order the
+        /// upstream stops the run then.
         lease_until_ms: u64,
-        /// The ownership under which the order is given.
+        /// The fencing token of the owner.
         fence: u64,
     },
     /// Stop a run, or keep it from ever starting.
     Stop {
         /// The run.
         run: RunId,
-        /// The ownership under which the order is given.
+        /// The fencing token of the owner.
         fence: u64,
     },
-    /// Renew the lease of all that runs, and list it.
+    /// Renew the leases of all runs, and list the runs and the new ends.
     Renew {
-        /// How long the upstream may keep running without another order, on its own clock; none
-        /// to look without renewing.
+        /// When the lease ends on the upstream's clock, in milliseconds; none to list without renewing.
         lease_until_ms: Option<u64>,
-        /// The ownership under which the order is given.
+        /// The fencing token of the owner.
         fence: u64,
-        /// The number of the last end that was taken note of; those up to it are forgotten.
+        /// The number of the last end that the owner has handled; the upstream forgets those up to it.
         acknowledged_end: u64,
-        /// How long the answer may wait for an end.
+        /// How long the answer may wait for a new end.
         wait: Duration,
     },
 }
 
-/// What came back of an order.
+/// The outcome of sending an order.
 #[value]
 pub enum OrderAnswer {
     /// It was carried out.
@@ -62,7 +62,7 @@
         /// The upstream's clock.
         clock_ms: Option<u64>,
     },
-    /// A hold was carried out.
+    /// A renew order was carried out.
     Renewed(RenewReport),
     /// It was refused; nothing was done.
     Refused {
@@ -71,9 +71,9 @@
         /// The upstream's clock.
         clock_ms: Option<u64>,
     },
-    /// Nothing of it was sent.
+    /// It was not sent, so that it is certainly not carried out.
     NotSent,
-    /// No answer: it may have been carried out, or may be later.
+    /// No answer came: it may have been carried out, or may be carried out later.
     Lost,
 }
 
@@ -81,65 +81,66 @@
 #[value]
 #[derive(Copy, derive_more::Display)]
 pub enum OrderRefusal {
-    /// Another owner holds the upstream under a higher fence.
+    /// Another instance owns the upstream under a higher fence.
     #[display("fence")]
     Fence,
-    /// A run with a number as high has been there.
+    /// The upstream has already had a run of the task with this number or a higher one.
     #[display("old_run")]
     OldRun,
-    /// The lease that it offers is over already.
+    /// The lease that it grants has already expired.
     #[display("lease_over")]
     LeaseExpired,
-    /// The task does not fit into what is free.
+    /// The task does not fit into the free capacity.
     #[display("no_room")]
     NoCapacity,
-    /// The upstream lives another life now.
+    /// Another incarnation of the upstream, or another upstream, answers at the address.
     #[display("other_life")]
     OtherIncarnation,
-    /// The upstream is not well and did nothing.
+    /// The upstream is unhealthy or overloaded, and has done nothing.
     #[display("unhealthy")]
     Unhealthy,
-    /// The order makes no sense to it.
+    /// The upstream considers the order invalid.
     #[display("invalid")]
     Invalid,
 }
 
-/// What an upstream lists.
+/// An upstream's report in the answer to a renew order.
 #[value]
 pub struct RenewReport {
-    /// Its clock.
+    /// The upstream's clock.
     pub clock_ms: u64,
-    /// When this life of it began, in milliseconds since the Unix epoch, where it says so.
+    /// When the upstream's current incarnation began, in milliseconds since the Unix epoch, where it
+    /// reports that.
     pub born_unix_ms: Option<u64>,
-    /// What runs.
+    /// The runs that go on.
     pub running: Vec<RunningRow>,
-    /// What has ended and was not taken note of yet.
+    /// The ends that the owner has not acknowledged yet.
     pub ended: Vec<EndedRow>,
 }
 
-/// A run that runs.
+/// A run that an upstream lists as running.
 #[value]
 #[derive(Copy)]
 pub struct RunningRow {
     /// The run.
     pub run: RunId,
-    /// How much of its work is done.
+    /// How much of its work is done, rounded down.
     pub percent: u8,
 }
 
-/// A run that has ended.
+/// A run that an upstream lists as ended.
 #[value]
 #[derive(Copy)]
 pub struct EndedRow {
-    /// The upstream's number of the end.
+    /// The upstream's number of the end, rising from end to end.
     pub number: u64,
-    /// The run; none when the upstream names it in a way that is not ours.
+    /// The run; none when its name on the upstream cannot be parsed.
     pub run: Option<RunId>,
     /// How it ended.
     pub how: RunOutcome,
 }
 
-/// How a run ended, as its upstream says.
+/// How a run ended, as its upstream reports it.
 #[value]
 #[derive(Copy, derive_more::Display)]
 pub enum RunOutcome {
@@ -149,13 +150,13 @@
     /// It failed, through its own fault or the upstream's.
     #[display("failed")]
     Failed,
-    /// It was stopped by order.
+    /// A stop order ended it.
     #[display("stopped")]
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     #[display("lapsed")]
     LeaseExpired,
-    /// It ended for another reason that is not its own.
+    /// It ended for another reason, not through the task itself.
     #[display("other")]
     Other,
 }
