--- a/lib/src/runs/neighbours.rs
+++ b/lib/src/runs/neighbours.rs
@@ -1,7 +1,8 @@
-//! Which instances tell each other their load.
+//! Which instances exchange heartbeats with their load.
 //!
-//! Each instance chooses some to place work at, most of its own data centre; both sides of a choice
-//! send heartbeats. So their number for an instance is bounded however many there are.
+//! Each instance chooses a few others to place work at, most of them in its own data centre, by
+//! rendezvous hashing; both sides of a choice send heartbeats. So the number of heartbeats of an
+//! instance stays bounded as the site grows.
 
 use std::sync::Arc;
 
@@ -10,13 +11,14 @@
 use super::roster::Member;
 use super::roster::Roster;
 
-/// How many of its own data centre an instance chooses.
-const NEAR: usize = 8;
+/// How many others of its own data centre an instance chooses.
+const NEAR_NEIGHBOURS: usize = 8;
 
-/// How many of other data centres it chooses, for when its own is full.
-const FAR: usize = 4;
+/// How many of other data centres an instance chooses, for when its own is full.
+const FAR_NEIGHBOURS: usize = 4;
 
-/// The other instances with which `own` exchanges heartbeats.
+/// The names of the instances with which `own` exchanges heartbeats; all of them when the roster does
+/// not list `own`.
 pub(crate) fn neighbours(own: &str, roster: &Roster) -> Vec<Arc<str>> {
     let Some(own) = roster.member(own) else {
         return roster
@@ -36,7 +38,7 @@
     neighbours.map(|member| member.name.clone()).collect()
 }
 
-/// The instances that `member` chooses.
+/// The names of the instances that `member` chooses.
 fn chosen<'a>(member: &Member, roster: &'a Roster) -> Vec<&'a str> {
     let seed = xxh3_64_with_seed(member.name.as_bytes(), 0);
     let is_near = |other: &Member| other.data_centre == member.data_centre;
@@ -45,15 +47,16 @@
         .iter()
         .filter(|other| other.name != member.name);
     let (near, far): (Vec<&Member>, Vec<&Member>) = others.partition(|other| is_near(other));
-    // What few there are near leaves its places to those far.
-    let far_places = FAR + NEAR.saturating_sub(near.len());
-    let mut chosen = best(near, seed, NEAR);
-    chosen.extend(best(far, seed, far_places));
+    // Places that its own data centre cannot fill go to other data centres.
+    let far_count = FAR_NEIGHBOURS + NEAR_NEIGHBOURS.saturating_sub(near.len());
+    let mut chosen = lowest_hashes(near, seed, NEAR_NEIGHBOURS);
+    chosen.extend(lowest_hashes(far, seed, far_count));
     chosen
 }
 
-fn best(mut members: Vec<&Member>, seed: u64, most: usize) -> Vec<&str> {
+/// The names of the `count` members with the lowest hashes.
+fn lowest_hashes(mut members: Vec<&Member>, seed: u64, count: usize) -> Vec<&str> {
     members.sort_by_cached_key(|member| xxh3_64_with_seed(member.name.as_bytes(), seed));
-    members.truncate(most);
+    members.truncate(count);
     members.into_iter().map(|member| &*member.name).collect()
 }
