--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -1,18 +1,18 @@
-//! The choice of an upstream for a task, among those with room.
+//! The choice of an upstream for a task, among those with enough free capacity.
 
 use std::time::Duration;
 
 use almondhead_macros::value;
 
-/// A task that looks for an upstream.
+/// A task that needs an upstream.
 #[value]
 #[derive(Copy)]
 pub struct PlacementRequest {
     /// Its expected run time on an upstream of usual speed.
     pub expected_run_time: Duration,
-    /// Whether that is known from its progress elsewhere, not from what was declared.
+    /// Whether that is known from the task's progress elsewhere, and not only declared.
     pub is_run_time_known: bool,
-    /// How long until its job is to end.
+    /// How long until its job's objective.
     pub objective_left: Duration,
     /// How long until its caller leaves.
     pub deadline_left: Duration,
@@ -24,48 +24,48 @@
 pub struct CandidateUpstream {
     /// Whether the task failed there before.
     pub avoided: bool,
-    /// Whether the task's data is elsewhere.
+    /// Whether the task's data is in another rack.
     pub far_from_data: bool,
-    /// The measured run times there over the expected ones, in hundredths.
+    /// The run times there relative to the expected ones, in percent.
     pub slowness_percent: u32,
-    /// The processor that would stay free, in thousandths of a core.
+    /// The processor capacity that would stay free, in thousandths of a core.
     pub left_millicores: u32,
-    /// How far it is, zero nearest.
+    /// The distance to it, zero nearest.
     pub distance: u32,
 }
 
 /// Chooses one of several upstreams.
 pub trait UpstreamChoice: std::fmt::Debug + Send {
-    /// The index of the chosen one; none without candidates.
+    /// The index of the chosen candidate; none when no candidate will do.
     fn choose(&self, task: &PlacementRequest, candidates: &[CandidateUpstream]) -> Option<usize>;
 }
 
-/// How much longer than declared a task may run and must still end before its caller leaves, in
-/// hundredths: declared run times are off by about two fifths.
+/// The run time, in percent of the declared one, with which a task must still end before its caller
+/// leaves: declared run times are off by about two fifths.
 ///
 /// The objective needs no such margin, since it grows with the true run time.
 const DECLARED_SAFETY_PERCENT: u32 = 300;
 
-/// The same margin for a run time that is known.
+/// The same for a known run time.
 const KNOWN_SAFETY_PERCENT: u32 = 108;
 
-/// Upstreams whose slowness differs by less than these hundredths count as equally fast.
-const SAME_SPEED_PERCENT: u32 = 10;
+/// The width of a speed class, in percent: upstreams of one class count as equally fast.
+const SPEED_CLASS_PERCENT: u32 = 10;
 
-/// The nearest and, of these, the slowest that is surely in time, so that fast upstreams stay for
-/// tasks that need them; the fastest when none is. The fullest among equals, so that room for
-/// wide tasks stays.
+/// Chooses the nearest candidate on which the task ends in time and, of these, the slowest, so that
+/// fast ones stay free for tasks that need them; the fastest when the task ends in time on none.
+/// Among equals it chooses the fullest, so that others keep capacity for tasks with large demands.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowestInTime;
 
 impl UpstreamChoice for SlowestInTime {
     fn choose(&self, task: &PlacementRequest, candidates: &[CandidateUpstream]) -> Option<usize> {
         let ranked = candidates.iter().enumerate();
-        // Starting where a task is known to end too late helps nobody.
+        // A start where the task is known to end too late would be wasted.
         let ranked = ranked.filter(|(_, candidate)| !task.is_infeasible_on(candidate));
         let best = ranked.min_by_key(|(_, candidate)| {
-            let is_in_time = task.is_in_time(candidate);
-            let speed_class = candidate.slowness_percent / SAME_SPEED_PERCENT;
+            let is_in_time = task.is_in_time_on(candidate);
+            let speed_class = candidate.slowness_percent / SPEED_CLASS_PERCENT;
             let (near_first, speed) = match is_in_time {
                 true => (candidate.distance, u32::MAX - speed_class),
                 false => (0, speed_class),
@@ -84,18 +84,20 @@
 }
 
 impl PlacementRequest {
-    /// Whether the task surely ends after its caller has left if it runs there.
+    /// Whether the task, if it runs there, is known to end after its caller has left.
     fn is_infeasible_on(&self, candidate: &CandidateUpstream) -> bool {
-        let run = self.expected_run_time * candidate.slowness_percent / 100;
-        self.is_run_time_known && run > self.deadline_left
+        let run_time = self.expected_run_time * candidate.slowness_percent / 100;
+        self.is_run_time_known && run_time > self.deadline_left
     }
 
-    fn is_in_time(&self, candidate: &CandidateUpstream) -> bool {
-        let run = self.expected_run_time * candidate.slowness_percent / 100;
+    /// Whether the task, if it runs there, ends by its objective and, with a margin, before its caller
+    /// leaves.
+    fn is_in_time_on(&self, candidate: &CandidateUpstream) -> bool {
+        let run_time = self.expected_run_time * candidate.slowness_percent / 100;
         let safety_percent = match self.is_run_time_known {
             true => KNOWN_SAFETY_PERCENT,
             false => DECLARED_SAFETY_PERCENT,
         };
-        run <= self.objective_left && run * safety_percent / 100 <= self.deadline_left
+        run_time <= self.objective_left && run_time * safety_percent / 100 <= self.deadline_left
     }
 }
