--- a/lib/src/runs/upstream_listing.rs
+++ b/lib/src/runs/upstream_listing.rs
@@ -1,4 +1,4 @@
-//! The upstreams that are listed, with those that an outage of the store may have dropped.
+//! The listed upstreams, including those whose entries may have expired only because of a store outage.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,52 +12,56 @@
 
 /// The upstreams that are listed.
 ///
-/// Entries may lapse while the store is away although their upstreams live. Such a removal takes
-/// effect only once the upstream had time to list itself again.
+/// While the store is unreachable, entries may expire although their upstreams still run. Such a
+/// removal takes effect only after the upstream has had time to list itself again.
 #[derive(Debug)]
 pub(crate) struct UpstreamListing {
     listed: IndexMap<Arc<str>, Arc<ListedUpstream>>,
-    /// Removed entries that may come back, with the time at which they are gone.
-    lapsed: IndexMap<Arc<str>, Timestamp>,
-    relisting: Duration,
-    is_store_away: bool,
+    /// Removed entries that may still be listed again, with the time at which the removal takes effect.
+    pending_removals: IndexMap<Arc<str>, Timestamp>,
+    /// How long upstreams may take to list themselves again once the store is reachable.
+    relisting_grace: Duration,
+    is_store_unreachable: bool,
+    /// When the store was last reachable again after an outage; none before the first one.
     regained_at: Option<Timestamp>,
 }
 
 impl UpstreamListing {
-    pub(crate) fn new(relisting: Duration) -> Self {
+    pub(crate) fn new(relisting_grace: Duration) -> Self {
         UpstreamListing {
             listed: IndexMap::new(),
-            lapsed: IndexMap::new(),
-            relisting,
-            is_store_away: false,
+            pending_removals: IndexMap::new(),
+            relisting_grace,
+            is_store_unreachable: false,
             regained_at: None,
         }
     }
 
+    /// Handles that the store has become unreachable.
     pub(crate) fn store_lost(&mut self) {
-        self.is_store_away = true;
+        self.is_store_unreachable = true;
     }
 
+    /// Handles that the store is reachable again.
     pub(crate) fn store_regained(&mut self, now: Timestamp) {
-        if std::mem::take(&mut self.is_store_away) {
+        if std::mem::take(&mut self.is_store_unreachable) {
             self.regained_at = Some(now);
         }
     }
 
-    /// Takes in changes; gives the upstreams that are gone.
+    /// Applies changes of the list; returns the ids of the upstreams that are gone.
     pub(crate) fn apply(&mut self, now: Timestamp, changes: Vec<ListingChange>) -> Vec<Arc<str>> {
         let mut gone = Vec::new();
         for change in changes {
             match change {
                 ListingChange::Listed(upstream) => {
-                    self.lapsed.swap_remove(&upstream.id);
+                    self.pending_removals.swap_remove(&upstream.id);
                     self.listed.insert(upstream.id.clone(), upstream);
                 }
-                ListingChange::Removed(id) => match self.may_come_back_until(now) {
+                ListingChange::Removed(id) => match self.may_relist_until(now) {
                     Some(until) if self.listed.contains_key(&id) => {
-                        tracing::info!(upstream = %id, "entry lapsed while the store was away");
-                        self.lapsed.insert(id, until);
+                        tracing::info!(upstream = %id, "entry removed during a store outage: kept for now");
+                        self.pending_removals.insert(id, until);
                     }
                     _ => {
                         self.listed.swap_remove(&id);
@@ -69,34 +73,38 @@
         gone
     }
 
-    /// Until when an entry that vanishes now may come back.
-    fn may_come_back_until(&self, now: Timestamp) -> Option<Timestamp> {
-        if self.is_store_away {
-            return Some(now + self.relisting);
+    /// Until when an upstream whose entry is removed now may list itself again; none when the removal
+    /// takes effect at once.
+    fn may_relist_until(&self, now: Timestamp) -> Option<Timestamp> {
+        if self.is_store_unreachable {
+            return Some(now + self.relisting_grace);
         }
-        let until = self.regained_at? + self.relisting;
+        let until = self.regained_at? + self.relisting_grace;
         (until > now).then_some(until)
     }
 
-    /// Takes out the upstreams whose entries did not come back in time; gives them.
+    /// Removes the upstreams that have not listed themselves again in time; returns their ids.
     pub(crate) fn expire(&mut self, now: Timestamp) -> Vec<Arc<str>> {
-        if self.is_store_away {
+        if self.is_store_unreachable {
             return Vec::new();
         }
-        let lapsed = self.lapsed.extract_if(.., |_, until| *until <= now);
-        let gone: Vec<Arc<str>> = lapsed.map(|(id, _)| id).collect();
+        let expired = self
+            .pending_removals
+            .extract_if(.., |_, until| *until <= now);
+        let gone: Vec<Arc<str>> = expired.map(|(id, _)| id).collect();
         for id in &gone {
-            tracing::info!(upstream = %id, "entry did not come back: upstream gone");
+            tracing::info!(upstream = %id, "upstream gone: not listed again after a store outage");
             self.listed.swap_remove(id);
         }
         gone
     }
 
+    /// The listed upstreams.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Arc<ListedUpstream>> {
         self.listed.values()
     }
 
-    /// Whether some listed upstream of the service could run such a task when nothing else ran.
+    /// Whether some listed upstream of the service could run such a task if nothing else ran there.
     pub(crate) fn can_ever_run(
         &self,
         service: &str,
