--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -1,4 +1,4 @@
-//! Tasks that an owner holds for a home.
+//! A batch of tasks that an owner holds for a home, until each has ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,35 +16,43 @@
 use crate::id::Incarnation;
 use crate::time::Timestamp;
 
-/// The place of a task in its batch.
+/// The index of a task in its batch.
 pub(crate) type TaskIndex = usize;
 
 /// Tasks of one job that an owner holds for its home.
 #[derive(Debug)]
 pub(crate) struct HeldBatch {
     pub(crate) home: Incarnation,
+    /// The home's number of the batch.
     pub(crate) number: u64,
     pub(crate) job: JobId,
     pub(crate) service: Arc<str>,
+    /// The job's text, sent with each start.
     pub(crate) spec: Arc<str>,
+    /// The rank of the job's queue, zero first.
     pub(crate) priority: u32,
+    /// When the job is to end, in microseconds on this instance's clock; negative before its zero.
     pub(crate) objective_at_us: i64,
+    /// When the job's caller leaves.
     pub(crate) deadline: Timestamp,
-    pub(crate) taken_at: Timestamp,
+    pub(crate) accepted_at: Timestamp,
     pub(crate) demands: Vec<StepDemand>,
     pub(crate) tasks: Vec<HeldTask>,
+    /// The number of tasks without a known end.
     pub(crate) open_tasks: usize,
-    /// Whether a task of the job runs or has run, as far as is known here.
+    /// Whether a task of the job runs or has run, as known here so far.
     pub(crate) has_begun: bool,
+    /// Ends that the home was not notified of yet.
     pub(crate) unreported: Vec<TaskEnd>,
     pub(crate) done_runs: Vec<DoneRun>,
 }
 
-/// A run of a batch that is done.
+/// A done run of a batch, as a sample of its upstream's speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DoneRun {
     pub(crate) step: u32,
-    pub(crate) on: LeasedUpstreamKey,
+    pub(crate) upstream_key: LeasedUpstreamKey,
+    /// Its run time.
     pub(crate) took: Duration,
 }
 
@@ -52,32 +60,32 @@
 #[derive(Debug)]
 pub(crate) struct HeldTask {
     pub(crate) placed: PlacedTask,
-    /// Its place in the batch's demands.
-    pub(crate) demand: usize,
+    /// The index of its step's demand in the batch's demands.
+    pub(crate) demand_index: usize,
     pub(crate) state: HeldState,
 }
 
-/// Where a held task is.
+/// The state of a held task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HeldState {
-    /// It waits for room.
+    /// It waits for free capacity.
     Queued,
-    /// It is ordered or runs.
+    /// Its start is ordered, or it runs, on this upstream.
     Running(LeasedUpstreamKey),
-    /// It has ended.
+    /// It has ended, or is refused.
     Ended,
 }
 
 impl HeldBatch {
-    /// The batch of a message; none when a task names a step without a demand.
+    /// A batch that arrived now; none when a task names a step without a demand.
     pub(crate) fn new(home: Incarnation, batch: RunBatch, now: Timestamp) -> Option<Self> {
         let mut tasks = Vec::with_capacity(batch.tasks.len());
         for placed in batch.tasks {
             let of_step = |demand: &StepDemand| demand.step == placed.step;
-            let demand = batch.demands.iter().position(of_step)?;
+            let demand_index = batch.demands.iter().position(of_step)?;
             tasks.push(HeldTask {
                 placed,
-                demand,
+                demand_index,
                 state: HeldState::Queued,
             });
         }
@@ -91,7 +99,7 @@
             priority: batch.priority,
             objective_at_us: now_us.saturating_add(batch.objective_left_us),
             deadline: now + batch.deadline_left,
-            taken_at: now,
+            accepted_at: now,
             demands: batch.demands,
             open_tasks: tasks.len(),
             tasks,
@@ -101,18 +109,18 @@
         })
     }
 
-    /// The run of a task.
+    /// The id of a task's run.
     pub(crate) fn run(&self, task: TaskIndex) -> RunId {
         run_of(self.job, &self.tasks[task].placed)
     }
 
-    /// How long a task is expected to run on an upstream of usual speed.
+    /// The expected run time of a task on an upstream of usual speed.
     pub(crate) fn expected_run_time(&self, task: TaskIndex) -> Duration {
         let known = self.tasks[task].placed.known_run_time;
-        known.unwrap_or(self.demand(task).expected_run_time)
+        known.unwrap_or(self.step_demand(task).expected_run_time)
     }
 
-    /// A task as one that looks for an upstream.
+    /// What the choice of an upstream for a task depends on.
     pub(crate) fn placement_request(&self, now: Timestamp, task: TaskIndex) -> PlacementRequest {
         PlacementRequest {
             expected_run_time: self.expected_run_time(task),
@@ -122,68 +130,71 @@
         }
     }
 
-    /// What a task needs.
-    pub(crate) fn demand(&self, task: TaskIndex) -> &StepDemand {
-        &self.demands[self.tasks[task].demand]
+    /// What a task's step demands.
+    pub(crate) fn step_demand(&self, task: TaskIndex) -> &StepDemand {
+        &self.demands[self.tasks[task].demand_index]
     }
 
-    /// The latest time at which a task may start and still end before its caller leaves.
-    pub(crate) fn start_by(&self, task: TaskIndex) -> Timestamp {
+    /// The latest time at which a task can start and still end before its caller leaves.
+    pub(crate) fn latest_start(&self, task: TaskIndex) -> Timestamp {
         let left = self.deadline.since(Timestamp::ZERO);
         let share = match self.tasks[task].placed.known_run_time {
             Some(_) => MIN_KNOWN_RUN_TIME_SHARE,
             None => MIN_RUN_TIME_SHARE,
         };
-        let least = self.expected_run_time(task).mul_f64(share);
-        Timestamp::ZERO + left.saturating_sub(least)
+        let min_run_time = self.expected_run_time(task).mul_f64(share);
+        Timestamp::ZERO + left.saturating_sub(min_run_time)
     }
 
-    /// How long a task waits for room: to the time by which its job is to end, or, where the job
-    /// has begun, as long as the task can end before its caller leaves.
+    /// Until when a task waits for free capacity: until its job's objective or, where the job has
+    /// begun, as long as the task can still end before its caller leaves.
     ///
-    /// Upstreams do as much work whichever tasks wait. Jobs that wait longer keep others waiting
-    /// beyond their objectives too; refused, their callers know sooner and may come back.
+    /// Upstreams do the same amount of work whichever tasks wait. Jobs that wait beyond their
+    /// objectives make others miss theirs too; callers of refused jobs learn of it sooner and may retry.
     pub(crate) fn waits_until(&self, task: TaskIndex) -> Timestamp {
-        let start_by = self.start_by(task);
+        let latest_start = self.latest_start(task);
         match self.has_begun {
-            true => start_by,
-            false => start_by.min(self.objective_at()),
+            true => latest_start,
+            false => latest_start.min(self.objective_at()),
         }
     }
 
-    /// How long until the job is to end, zero once that has passed.
+    /// How long until the job's objective, zero once it has passed.
     pub(crate) fn objective_left(&self, now: Timestamp) -> Duration {
         let now_us = i64::try_from(now.as_us()).unwrap_or(i64::MAX);
         let left_us = self.objective_at_us.saturating_sub(now_us);
         Duration::from_micros(u64::try_from(left_us).unwrap_or(0))
     }
 
-    /// When the job is to end.
+    /// The job's objective: when it is to end.
     fn objective_at(&self) -> Timestamp {
         let at_us = u64::try_from(self.objective_at_us).unwrap_or(0);
         Timestamp::ZERO + Duration::from_micros(at_us)
     }
 
-    /// The expected work of a task in milliseconds of one core.
+    /// The expected work of a task, in milliseconds of one core.
     pub(crate) fn core_ms(&self, task: TaskIndex) -> u64 {
-        let demand = self.demand(task);
-        core_ms(demand.demand.cpu_millicores, self.expected_run_time(task))
+        let step_demand = self.step_demand(task);
+        core_ms(
+            step_demand.demand.cpu_millicores,
+            self.expected_run_time(task),
+        )
     }
 }
 
-/// The share of its expected run time that a task needs at the least: upstreams run up to a
-/// quarter faster than the usual one, and a declared time may be twice the true one.
+/// The minimum run time of a task as a share of the expected one: upstreams run up to a quarter faster
+/// than usual, and a declared run time may be twice the true one.
 pub(crate) const MIN_RUN_TIME_SHARE: f64 = 0.4;
 
-/// The share of a known run time that a task needs at the least.
+/// The same share where the run time is known from the task's progress elsewhere.
 pub(crate) const MIN_KNOWN_RUN_TIME_SHARE: f64 = 0.78;
 
-/// The work of a task in milliseconds of one core.
+/// The work of a task that uses this much processor for this long, in milliseconds of one core.
 pub(crate) fn core_ms(cpu_millicores: u32, run: Duration) -> u64 {
     u64::from(cpu_millicores).saturating_mul(whole_ms(run)) / 1_000
 }
 
-/// The run of a placed task.
+/// The id of a placed task's run.
 pub(crate) fn run_of(job: JobId, placed: &PlacedTask) -> RunId {
     RunId {
         task: TaskName {
--- a/lib/src/runs/learned_speed.rs
+++ b/lib/src/runs/learned_speed.rs
@@ -1,29 +1,30 @@
-//! How much slower than declared an upstream runs tasks, learned from runs that are done.
+//! How much slower than usual an upstream runs tasks, learned from its runs.
 
 use std::time::Duration;
 
-/// The variance of the logarithm before anything was learned: speeds of one service differ by
+/// The variance of the log slowness before the first run: speeds of a service's upstreams differ by
 /// about a quarter.
 const PRIOR_VARIANCE: f64 = 0.05;
 
-/// The variance of one run time against the declared one, in logarithms: declared run times are
-/// off by about two fifths.
+/// The variance of the log ratio of a run time to the declared one: declared run times are off by
+/// about two fifths.
 const DECLARED_VARIANCE: f64 = 0.16;
 
-/// The variance of one run time against those of other tasks of its step, in logarithms: they
-/// differ by about a seventh.
-const SIBLING_VARIANCE: f64 = 0.02;
+/// The variance of the log ratio of a run time to those of other tasks of its step: they differ by
+/// about a seventh.
+const SAME_STEP_VARIANCE: f64 = 0.02;
 
-/// What the variance grows by with each run, since upstreams change their speed.
+/// What each run adds to the variance, since the speed of upstreams drifts.
 const DRIFT_VARIANCE: f64 = 0.0003;
 
-/// The standard deviations beyond which a run says that the upstream has changed.
-const SURPRISE: f64 = 4.0;
+/// The number of standard deviations beyond which a run shows that the upstream's speed has jumped.
+const JUMP_DEVIATIONS: f64 = 4.0;
 
-/// What the variance grows by with a surprise: after two the old speed is forgotten.
-const SURPRISE_VARIANCE: f64 = 0.1;
+/// What such a run adds to the variance: after two the old speed no longer counts.
+const JUMP_VARIANCE: f64 = 0.1;
 
-/// A learned slowness, by a Kalman filter over the logarithm of run time over declared time.
+/// An upstream's slowness, learned by a Kalman filter over the natural logarithm of its run times
+/// relative to those on an upstream of usual speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LearnedSpeed {
     log_slowness: f64,
@@ -40,60 +41,66 @@
 }
 
 impl LearnedSpeed {
-    /// The run times over the declared ones.
+    /// The ratio of run times there to those on an upstream of usual speed.
     pub(crate) fn slowness(&self) -> f64 {
         self.log_slowness.exp()
     }
 
-    /// The slowness in hundredths.
+    /// The slowness in percent.
     pub(crate) fn slowness_percent(&self) -> u32 {
         (self.slowness() * 100.0).round() as u32
     }
 
-    /// The logarithm of the slowness.
+    /// The natural logarithm of the slowness.
     pub(crate) fn log_slowness(&self) -> f64 {
         self.log_slowness
     }
 
-    /// Learns from a run whose time was declared, one of `runs` with the same declaration and so
-    /// with the same error.
+    /// Learns from a run with a declared run time. `runs` is the number of runs that share the
+    /// declaration, and so its error.
     pub(crate) fn observe_declared(&mut self, declared: Duration, took: Duration, runs: usize) {
         if !declared.is_zero() && !took.is_zero() {
             let variance = DECLARED_VARIANCE * runs as f64;
-            self.observe(log_s(took) - log_s(declared), variance);
+            self.observe(ln_seconds(took) - ln_seconds(declared), variance);
         }
     }
 
-    /// Learns from a run beside `siblings` others of its step, whose run times at usual speed
-    /// have this mean logarithm.
-    pub(crate) fn observe_beside(&mut self, took: Duration, mean_log_s: f64, siblings: usize) {
-        if siblings > 0 && !took.is_zero() {
-            let variance = SIBLING_VARIANCE * (1.0 + 1.0 / siblings as f64);
-            self.observe(log_s(took) - mean_log_s, variance);
+    /// Learns from a run by comparing it to `others` runs of its step. `mean_ln_seconds` is the mean of
+    /// the logarithms of their run times at usual speed, in seconds.
+    pub(crate) fn observe_within_step(
+        &mut self,
+        took: Duration,
+        mean_ln_seconds: f64,
+        others: usize,
+    ) {
+        if others > 0 && !took.is_zero() {
+            let variance = SAME_STEP_VARIANCE * (1.0 + 1.0 / others as f64);
+            self.observe(ln_seconds(took) - mean_ln_seconds, variance);
         }
     }
 
-    /// Learns from a run whose progress predicts a much longer run time than expected there.
+    /// Learns from a run whose progress predicts a much longer run time than expected on this upstream.
     pub(crate) fn observe_crawling(&mut self, expected: Duration, predicted: Duration) {
         if !expected.is_zero() && !predicted.is_zero() {
-            let log_ratio = log_s(predicted) - log_s(expected) + self.log_slowness;
+            let log_ratio = ln_seconds(predicted) - ln_seconds(expected) + self.log_slowness;
             self.observe(log_ratio, DECLARED_VARIANCE);
         }
     }
 
-    fn observe(&mut self, log_ratio: f64, noise: f64) {
-        let off = log_ratio - self.log_slowness;
+    /// Updates the estimate with an observed log ratio of this variance.
+    fn observe(&mut self, log_ratio: f64, observed_variance: f64) {
+        let innovation = log_ratio - self.log_slowness;
         self.variance += DRIFT_VARIANCE;
-        if off.abs() > SURPRISE * (self.variance + noise).sqrt() {
-            self.variance += SURPRISE_VARIANCE;
+        if innovation.abs() > JUMP_DEVIATIONS * (self.variance + observed_variance).sqrt() {
+            self.variance += JUMP_VARIANCE;
         }
-        let gain = self.variance / (self.variance + noise);
-        self.log_slowness += gain * off;
+        let gain = self.variance / (self.variance + observed_variance);
+        self.log_slowness += gain * innovation;
         self.variance *= 1.0 - gain;
     }
 }
 
 /// The natural logarithm of a duration in seconds.
-pub(crate) fn log_s(duration: Duration) -> f64 {
+pub(crate) fn ln_seconds(duration: Duration) -> f64 {
     duration.as_secs_f64().ln()
 }
--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream that this instance owns.
+//! The state of an upstream that this instance owns: its leases, its runs and whether it answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,97 +17,106 @@
 use crate::health::UpstreamHealth;
 use crate::time::Timestamp;
 
-/// The most ends of others' runs that are remembered, more than an upstream runs at a time.
-const MAX_FOUND_ENDS: usize = 64;
+/// The maximum number of remembered ends of runs that this instance did not order: more than an
+/// upstream runs at a time.
+const MAX_UNCLAIMED_ENDS: usize = 64;
 
-/// The fences of one ownership: it begins with the first, and each later life of the upstream gets
-/// the next.
+/// The number of fencing tokens for one roster version: an ownership begins with the first, and each
+/// restart of the upstream raises it by one, up to the last.
 const FENCES_PER_VERSION: u64 = 256;
 
-/// Whether an upstream answers.
+/// Whether an upstream answers its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Contact {
-    /// It has not answered since it was taken over.
-    Taking,
+    /// It has sent no report since it was taken over or restarted.
+    TakingOver,
     /// It answers.
-    InTouch,
+    Reachable,
     /// It does not answer.
-    Silent {
-        /// Since when.
+    Unreachable {
+        /// When this was found.
         since: Timestamp,
     },
 }
 
-/// A run that is listed and that nobody here ordered.
+/// A run that the upstream lists and that this instance did not order.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnclaimedRun {
-    /// The first order that was given after it was seen.
-    pub(crate) seen_before: OrderId,
-    pub(crate) asked: bool,
+    /// The first order sent after the run was first listed.
+    pub(crate) since_order: OrderId,
+    /// Whether homes were asked to claim it.
+    pub(crate) is_announced: bool,
 }
 
 /// An upstream that this instance owns.
 #[derive(Debug)]
 pub(crate) struct LeasedUpstream {
     pub(crate) listed: Arc<ListedUpstream>,
+    /// The fencing token of this instance's orders.
     pub(crate) fence: u64,
-    /// Whether another instance is to own it, and nothing new starts.
+    /// Whether it is no longer assigned to this instance, so that nothing new starts there.
     pub(crate) is_released: bool,
     pub(crate) contact: Contact,
+    /// The last reading of its clock; none before its first answer.
     pub(crate) clock: Option<UpstreamClock>,
+    /// When its current incarnation began, where it reports that.
     pub(crate) born_unix_ms: Option<u64>,
+    /// The number of the last end that was handled.
     pub(crate) acknowledged_end: u64,
+    /// The latest time on its clock until which a lease lasts.
     pub(crate) lease_until_ms: u64,
+    /// The runs that this instance ordered or adopted.
     pub(crate) runs: IndexMap<RunId, LeasedRun>,
+    /// The runs that it lists and that this instance did not order.
     pub(crate) unclaimed_runs: IndexMap<RunId, UnclaimedRun>,
     /// The last ends of runs that this instance did not order.
-    pub(crate) found_ends: IndexMap<RunId, RunOutcome>,
+    pub(crate) unclaimed_ends: IndexMap<RunId, RunOutcome>,
     pub(crate) health: UpstreamHealth,
     pub(crate) speed: LearnedSpeed,
-    /// When it last listed what runs.
-    pub(crate) reported_at: Timestamp,
-    /// Whether the last hold was not answered.
+    /// When its last report arrived.
+    pub(crate) last_report_at: Timestamp,
+    /// Whether a renew order stayed unanswered since the last report.
     pub(crate) has_missed_renew: bool,
-    /// Whether a hold is under way.
+    /// Whether a renew order is unanswered so far.
     pub(crate) is_renew_pending: bool,
 }
 
 impl LeasedUpstream {
-    /// An upstream owned by the roster of this version.
+    /// An upstream that this instance owns according to the roster of this version.
     pub(crate) fn new(listed: Arc<ListedUpstream>, version: u64) -> Self {
         LeasedUpstream {
             listed,
             fence: version.saturating_mul(FENCES_PER_VERSION),
             is_released: false,
-            contact: Contact::Taking,
+            contact: Contact::TakingOver,
             clock: None,
             born_unix_ms: None,
             acknowledged_end: 0,
             lease_until_ms: 0,
             runs: IndexMap::new(),
             unclaimed_runs: IndexMap::new(),
-            found_ends: IndexMap::new(),
+            unclaimed_ends: IndexMap::new(),
             health: UpstreamHealth::default(),
             speed: LearnedSpeed::default(),
-            reported_at: Timestamp::ZERO,
+            last_report_at: Timestamp::ZERO,
             has_missed_renew: false,
             is_renew_pending: false,
         }
     }
 
-    /// The version of the roster that its ownership follows from.
+    /// The version of the roster that its ownership is derived from.
     pub(crate) fn roster_version(&self) -> u64 {
         self.fence / FENCES_PER_VERSION
     }
 
-    /// Raises the fence for another life of the upstream, which knows of none: a start of before that
-    /// is carried out late must not be accepted there.
+    /// Raises the fence for the next incarnation of the upstream, which remembers no fence: it must not
+    /// accept a start that was sent to the previous one and arrives late.
     pub(crate) fn raise_fence(&mut self) {
         let is_last = (self.fence + 1).is_multiple_of(FENCES_PER_VERSION);
         self.fence += u64::from(!is_last);
     }
 
-    /// The room that no run uses.
+    /// The capacity that no run takes up.
     pub(crate) fn free(&self) -> Resources {
         let mut used = Resources::default();
         for run in self.runs.values() {
@@ -116,35 +125,37 @@
         self.listed.capacity.minus(used)
     }
 
-    /// Whether a task may start there now, as far as room is not concerned.
-    pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
+    /// Whether a task may start there now, if it fits into the free capacity.
+    pub(crate) fn can_take_work(&self, now: Timestamp) -> bool {
         let in_flight = u32::try_from(self.runs.len()).unwrap_or(u32::MAX);
         self.is_usable() && self.unclaimed_runs.is_empty() && self.health.may_start(now, in_flight)
     }
 
-    /// Whether it is in touch and stays.
+    /// Whether it is reachable, and neither released nor draining.
     pub(crate) fn is_usable(&self) -> bool {
-        self.contact == Contact::InTouch && !self.is_released && !self.listed.draining
+        self.contact == Contact::Reachable && !self.is_released && !self.listed.draining
     }
 
-    /// When everything that runs there has surely ended, if nothing more is ordered.
-    pub(crate) fn lapses_at(&self) -> Option<Timestamp> {
+    /// When all its leases must have expired if no further order is sent; none without a clock reading.
+    pub(crate) fn leases_expire_at(&self) -> Option<Timestamp> {
         self.clock
-            .map(|clock| clock.surely_passes_at(self.lease_until_ms))
+            .map(|clock| clock.certainly_passed_at(self.lease_until_ms))
     }
 
-    /// The time on its clock until which an order of now may let it run; the lease grows with it.
+    /// Records a lease from now on and returns its end on the upstream's clock, in milliseconds; none
+    /// without a clock reading.
     pub(crate) fn extend_lease(&mut self, now: Timestamp, lease: Duration) -> Option<u64> {
         let until_ms = self.clock?.estimate_ms(now).saturating_add(whole_ms(lease));
         self.lease_until_ms = self.lease_until_ms.max(until_ms);
         Some(until_ms)
     }
 
-    /// Remembers the end of a run that this instance did not order.
-    pub(crate) fn note_found_end(&mut self, run: RunId, how: RunOutcome) {
-        self.found_ends.insert(run, how);
-        if self.found_ends.len() > MAX_FOUND_ENDS {
-            self.found_ends.shift_remove_index(0);
+    /// Remembers the end of a run that this instance did not order, and forgets the oldest one beyond
+    /// the maximum.
+    pub(crate) fn record_unclaimed_end(&mut self, run: RunId, how: RunOutcome) {
+        self.unclaimed_ends.insert(run, how);
+        if self.unclaimed_ends.len() > MAX_UNCLAIMED_ENDS {
+            self.unclaimed_ends.shift_remove_index(0);
         }
     }
 }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of upstreams: queues tasks, starts them where they fit, and reports their ends.
+//! The owner's side of runs: queues the tasks that homes place, starts them on the upstreams that
+//! this instance owns, and reports how they end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +11,10 @@
 use super::held_batch::HeldBatch;
 use super::held_batch::HeldState;
 use super::held_batch::TaskIndex;
-use super::held_queue::HeldOrder;
 use super::held_queue::LeastSlack;
-use super::held_queue::QueuedView;
-use super::learned_speed::log_s;
+use super::held_queue::QueueRanking;
+use super::held_queue::QueuedTask;
+use super::learned_speed::ln_seconds;
 use super::leased_run::LeasedRun;
 use super::leased_run::RunPhase;
 use super::leased_run::StopReason;
@@ -46,44 +47,47 @@
 use crate::time::Timestamp;
 use crate::timer::TimerService;
 
-/// The tasks that are tried behind one that does not fit, before the queue is left alone.
+/// The maximum number of queued tasks that are skipped in one pass because no upstream can take
+/// them; the tasks behind them wait for the next pass.
 const MAX_BYPASSES: usize = 24;
 
-/// When a run is overdue, in hundredths of its expected run time: few last that long.
-const OVERDUE_PERCENT: u32 = 150;
+/// When the end of a run is checked for, in percent of its expected run time: few runs last longer.
+const END_CHECK_PERCENT: u32 = 150;
 
-/// What is added to that for short runs.
-const OVERDUE_MARGIN: Duration = Duration::from_millis(40);
+/// Added to the time of that check, so that short runs are not checked too early.
+const END_CHECK_MARGIN: Duration = Duration::from_millis(40);
 
-/// What an owner's parts subscribe to.
+/// The timers of an owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum OwnerTimer {
-    /// Look at the upstream again.
+    /// Send the next renew order to the upstream.
     Renew(LeasedUpstreamKey),
-    /// The leases there have run out if it is still silent.
-    Lapse(LeasedUpstreamKey),
-    /// Runs there that nobody has claimed are stopped.
-    Unclaimed(LeasedUpstreamKey),
-    /// A stop that was not answered is ordered again.
-    StopAgain(LeasedUpstreamKey, RunId),
-    /// Look at the progress of a run that has just begun.
+    /// Report the runs there as lost if the upstream is still unreachable and its leases have expired.
+    LeaseExpiry(LeasedUpstreamKey),
+    /// Stop the announced runs there that no home has claimed.
+    ClaimTimeout(LeasedUpstreamKey),
+    /// Order the run to stop again: the last stop was not carried out.
+    StopRetry(LeasedUpstreamKey, RunId),
+    /// Poll the upstream for the progress of a run that has just begun.
     Probe(LeasedUpstreamKey),
-    /// A run that began at this time should be over: look whether its end is known.
-    Overdue(LeasedUpstreamKey, Timestamp),
-    /// An upstream may take tasks again, or a queued task is too late.
+    /// A run that started at this time should have ended: poll the upstream if it has sent no report
+    /// since.
+    EndExpected(LeasedUpstreamKey, Timestamp),
+    /// Make another pass through the queue: an upstream may take tasks again, or a queued task has
+    /// waited too long.
     Dispatch,
 }
 
-/// What homes have to hear.
+/// What an owner reports to homes.
 #[derive(Debug)]
 pub(crate) enum OwnerNotice {
-    /// Tasks of a batch ended.
+    /// Tasks of a batch ended, for the home that placed them.
     Ends {
         home: Incarnation,
         batch: u64,
         ends: Vec<TaskEnd>,
     },
-    /// Runs were found on an upstream that was taken over.
+    /// An upstream lists runs that this instance did not start, for all homes.
     Found {
         upstream: Arc<str>,
         fence: u64,
@@ -92,7 +96,7 @@
     },
 }
 
-/// An order that was given and not answered.
+/// An order that was sent and not answered yet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingOrder {
     pub(crate) upstream: LeasedUpstreamKey,
@@ -100,46 +104,54 @@
     pub(crate) kind: PendingKind,
 }
 
-/// A start under way to an upstream that has a newer owner.
+/// A start in flight to an upstream that has a newer owner by now.
 #[derive(Debug)]
 pub(crate) struct SupersededStart {
     pub(crate) task: (HeldBatchKey, TaskIndex),
     pub(crate) upstream: Arc<str>,
 }
 
+/// What an unanswered order asks for.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum PendingKind {
     Start(RunId),
     Stop(RunId),
     Renew,
-    /// A look beside the hold that is under way.
+    /// A renew order that extends no lease and is answered at once, sent beside the waiting one.
     Probe,
 }
 
-/// The upstreams that one instance owns and the tasks that it holds for homes.
+/// The upstreams that this instance owns and the batches that it holds for homes.
 #[derive(Debug)]
 pub(crate) struct Owner {
+    /// How long each lease lasts.
     pub(crate) lease: Duration,
     pub(crate) upstreams: SlotMap<LeasedUpstreamKey, LeasedUpstream>,
     pub(crate) by_id: IndexMap<Arc<str>, LeasedUpstreamKey>,
     pub(crate) batches: SlotMap<HeldBatchKey, HeldBatch>,
+    /// The held batches by home and number.
     by_number: IndexMap<(Incarnation, u64), HeldBatchKey>,
+    /// The highest number of an accepted batch, by home.
     highest_taken: IndexMap<Incarnation, u64>,
+    /// The tasks that wait for free capacity.
     queue: Vec<(HeldBatchKey, TaskIndex)>,
-    /// Batches whose runs a newer owner has to claim or to end, and when they surely have ended.
-    pub(crate) lingering: IndexMap<(Incarnation, u64), Timestamp>,
+    /// Batches with runs that may go on under a newer owner, and when these must have ended.
+    pub(crate) possibly_running: IndexMap<(Incarnation, u64), Timestamp>,
+    /// The orders that are not answered yet.
     pub(crate) orders: IndexMap<OrderId, PendingOrder>,
-    /// Starts under way to upstreams that have a newer owner.
+    /// Starts in flight to upstreams that have a newer owner.
     pub(crate) superseded_starts: IndexMap<OrderId, SupersededStart>,
-    next_order: u64,
-    /// Upstreams that were lost to a newer owner, with the version of the roster then in force.
-    pub(crate) lost: IndexMap<Arc<str>, u64>,
-    order: Box<dyn HeldOrder>,
+    next_order_id: u64,
+    /// Upstreams relinquished to a newer owner, with the roster version of the lost ownership; only a
+    /// newer roster makes this instance their owner again.
+    pub(crate) relinquished: IndexMap<Arc<str>, u64>,
+    ranking: Box<dyn QueueRanking>,
     choice: Box<dyn UpstreamChoice>,
     pub(crate) timers: TimerService<OwnerTimer>,
     pub(crate) actions: Vec<RunAction>,
     pub(crate) notices: Vec<OwnerNotice>,
     pub(crate) is_leaving: bool,
+    /// Whether the queue needs another pass: something changed that may let a task start.
     is_dirty: bool,
 }
 
@@ -153,12 +165,12 @@
             by_number: IndexMap::new(),
             highest_taken: IndexMap::new(),
             queue: Vec::new(),
-            lingering: IndexMap::new(),
+            possibly_running: IndexMap::new(),
             orders: IndexMap::new(),
             superseded_starts: IndexMap::new(),
-            next_order: 1,
-            lost: IndexMap::new(),
-            order: Box::new(LeastSlack),
+            next_order_id: 1,
+            relinquished: IndexMap::new(),
+            ranking: Box::new(LeastSlack),
             choice: Box::new(SlowestInTime),
             timers: TimerService::default(),
             actions: Vec::new(),
@@ -168,9 +180,10 @@
         }
     }
 
-    /// Takes over the upstreams that this instance is to own, and lets go of the others.
+    /// Takes over the assigned upstreams that are not owned yet, and releases the others.
     ///
-    /// `version` is the version of the roster that ownership follows from; it fences former owners.
+    /// `version` is the version of the roster that the assignment is derived from. Fences are derived
+    /// from it, so that upstreams refuse the orders of former owners.
     pub(crate) fn reassign(
         &mut self,
         now: Timestamp,
@@ -179,102 +192,110 @@
     ) {
         for listed in assigned {
             match self.by_id.get(&listed.id) {
-                Some(key) => self.relist(now, *key, listed),
+                Some(upstream_key) => self.update_listed(now, *upstream_key, listed),
                 None => self.take_over(now, listed, version),
             }
         }
         let is_assigned = |id: &str| assigned.iter().any(|listed| &*listed.id == id);
         let others = self.by_id.iter().filter(|(id, _)| !is_assigned(id));
-        let others: Vec<LeasedUpstreamKey> = others.map(|(_, key)| *key).collect();
-        for key in others {
-            self.release(key);
+        let others: Vec<LeasedUpstreamKey> =
+            others.map(|(_, upstream_key)| *upstream_key).collect();
+        for upstream_key in others {
+            self.release(upstream_key);
         }
         self.is_dirty = true;
     }
 
     fn take_over(&mut self, now: Timestamp, listed: &Arc<ListedUpstream>, version: u64) {
         if self
-            .lost
+            .relinquished
             .get(&listed.id)
-            .is_some_and(|lost| *lost >= version)
+            .is_some_and(|relinquished| *relinquished >= version)
         {
             return;
         }
-        self.lost.swap_remove(&listed.id);
+        self.relinquished.swap_remove(&listed.id);
         tracing::info!(upstream = %listed.id, roster_version = version, "upstream taken over");
         let upstream = LeasedUpstream::new(listed.clone(), version);
-        let key = self.upstreams.insert(upstream);
-        self.by_id.insert(listed.id.clone(), key);
-        self.renew(now, key);
+        let upstream_key = self.upstreams.insert(upstream);
+        self.by_id.insert(listed.id.clone(), upstream_key);
+        self.renew(now, upstream_key);
     }
 
-    fn relist(&mut self, now: Timestamp, key: LeasedUpstreamKey, listed: &Arc<ListedUpstream>) {
-        let upstream = &mut self.upstreams[key];
+    fn update_listed(
+        &mut self,
+        now: Timestamp,
+        upstream_key: LeasedUpstreamKey,
+        listed: &Arc<ListedUpstream>,
+    ) {
+        let upstream = &mut self.upstreams[upstream_key];
         upstream.is_released = false;
         if upstream.listed == *listed {
             return;
         }
         if upstream.listed.draining != listed.draining {
-            tracing::info!(upstream = %listed.id, draining = listed.draining, "upstream state");
+            tracing::info!(upstream = %listed.id, draining = listed.draining, "upstream draining changed");
         }
         upstream.listed = listed.clone();
         if upstream.born_unix_ms.is_some() && listed.born_unix_ms > upstream.born_unix_ms {
-            self.begin_incarnation(key, listed.born_unix_ms);
-            self.renew(now, key);
+            self.begin_incarnation(upstream_key, listed.born_unix_ms);
+            self.renew(now, upstream_key);
         }
     }
 
-    fn release(&mut self, key: LeasedUpstreamKey) {
-        let upstream = &mut self.upstreams[key];
+    fn release(&mut self, upstream_key: LeasedUpstreamKey) {
+        let upstream = &mut self.upstreams[upstream_key];
         if !upstream.is_released {
             upstream.is_released = true;
             let runs = upstream.runs.len();
             tracing::info!(upstream = %upstream.listed.id, runs, "upstream released");
         }
-        self.drop_if_released(key);
+        self.drop_if_released(upstream_key);
     }
 
-    /// Forgets an upstream that another instance is to own, once nothing of ours runs there.
-    pub(crate) fn drop_if_released(&mut self, key: LeasedUpstreamKey) {
-        let upstream = &self.upstreams[key];
+    /// Removes a released upstream once none of this owner's runs is left there.
+    pub(crate) fn drop_if_released(&mut self, upstream_key: LeasedUpstreamKey) {
+        let upstream = &self.upstreams[upstream_key];
         if upstream.is_released && upstream.runs.is_empty() {
-            self.remove(key);
+            self.remove(upstream_key);
         }
     }
 
-    pub(crate) fn remove(&mut self, key: LeasedUpstreamKey) -> Option<LeasedUpstream> {
-        let upstream = self.upstreams.remove(key)?;
+    pub(crate) fn remove(&mut self, upstream_key: LeasedUpstreamKey) -> Option<LeasedUpstream> {
+        let upstream = self.upstreams.remove(upstream_key)?;
         self.by_id.swap_remove(&upstream.listed.id);
         self.is_dirty = true;
         Some(upstream)
     }
 
-    /// Gives an upstream no more work that is listed no more; what it still runs is followed.
+    /// Releases an upstream that is no longer listed: nothing new starts there, and its runs are
+    /// followed to their ends.
     pub(crate) fn release_unlisted(&mut self, id: &str) {
-        if let Some(key) = self.by_id.get(id).copied() {
-            self.release(key);
+        if let Some(upstream_key) = self.by_id.get(id).copied() {
+            self.release(upstream_key);
         }
     }
 
-    /// Takes tasks for a home, or reports that they will not start.
+    /// Queues the tasks of a home's batch; reports those that no upstream here can run as not started.
     pub(crate) fn place(&mut self, now: Timestamp, home: Incarnation, batch: RunBatch) {
-        let Some(key) = self.admit(now, home, batch) else {
+        let Some(batch_key) = self.admit(now, home, batch) else {
             return;
         };
         if self.is_leaving {
-            return self.refuse_all(key, NotStarted::Leaving);
+            return self.refuse_all(batch_key, NotStarted::Leaving);
         }
-        for task in 0..self.batches[key].tasks.len() {
-            if self.can_ever_run(key, task) {
-                self.queue.push((key, task));
+        for task in 0..self.batches[batch_key].tasks.len() {
+            if self.can_ever_run(batch_key, task) {
+                self.queue.push((batch_key, task));
             } else {
-                self.report(key, task, RunEnd::NotStarted(NotStarted::NoUpstream));
+                self.report(batch_key, task, RunEnd::NotStarted(NotStarted::NoUpstream));
             }
         }
         self.is_dirty = true;
     }
 
-    /// Keeps a batch, unless it came before.
+    /// Stores a batch; none when it is a duplicate, arrives after a later one of the same home, or has
+    /// a task without a demand.
     fn admit(
         &mut self,
         now: Timestamp,
@@ -284,31 +305,32 @@
         let number = batch.number;
         let highest = self.highest_taken.entry(home).or_default();
         if number <= *highest {
-            tracing::warn!(job = %batch.job, batch = number, "batch came again or late: ignored");
+            tracing::warn!(job = %batch.job, batch = number, "duplicate or reordered batch ignored");
             return None;
         }
         *highest = number;
         let held = HeldBatch::new(home, batch, now)?;
-        let key = self.batches.insert(held);
-        self.by_number.insert((home, number), key);
-        Some(key)
+        let batch_key = self.batches.insert(held);
+        self.by_number.insert((home, number), batch_key);
+        Some(batch_key)
     }
 
-    /// Refuses a batch that was too long under way.
+    /// Refuses a batch whose message was in flight for too long.
     pub(crate) fn refuse_stale(&mut self, now: Timestamp, home: Incarnation, batch: RunBatch) {
-        tracing::warn!(job = %batch.job, batch = batch.number, "batch too long under way: refused");
-        if let Some(key) = self.admit(now, home, batch) {
-            self.refuse_all(key, NotStarted::Stale);
+        tracing::warn!(job = %batch.job, batch = batch.number, "batch refused: too long in flight");
+        if let Some(batch_key) = self.admit(now, home, batch) {
+            self.refuse_all(batch_key, NotStarted::Stale);
         }
     }
 
-    fn refuse_all(&mut self, key: HeldBatchKey, reason: NotStarted) {
-        for task in 0..self.batches[key].tasks.len() {
-            self.report(key, task, RunEnd::NotStarted(reason));
+    fn refuse_all(&mut self, batch_key: HeldBatchKey, reason: NotStarted) {
+        for task in 0..self.batches[batch_key].tasks.len() {
+            self.report(batch_key, task, RunEnd::NotStarted(reason));
         }
     }
 
-    /// Takes charge of runs that run already on an upstream which this instance has taken over.
+    /// Adopts a home's runs on an upstream that this instance has taken over: follows those that are
+    /// listed there, and reports what became of the others.
     pub(crate) fn adopt(
         &mut self,
         now: Timestamp,
@@ -316,26 +338,30 @@
         upstream: &str,
         batch: RunBatch,
     ) {
-        let Some(key) = self.admit(now, home, batch) else {
+        let Some(batch_key) = self.admit(now, home, batch) else {
             return;
         };
-        for task in 0..self.batches[key].tasks.len() {
-            if !self.adopt_task(now, key, task, upstream) {
-                let end = self.end_of_missing(self.batches[key].run(task), upstream);
-                self.report(key, task, end);
+        for task in 0..self.batches[batch_key].tasks.len() {
+            if !self.adopt_task(now, batch_key, task, upstream) {
+                let end = self.end_of_missing(self.batches[batch_key].run(task), upstream);
+                self.report(batch_key, task, end);
             }
         }
     }
 
-    /// How a run ended that was to be adopted and is not there.
+    /// How a run ended that cannot be adopted because its upstream does not list it as running.
     fn end_of_missing(&self, run: RunId, id: &str) -> RunEnd {
-        let upstream = self.by_id.get(id).map(|on| &self.upstreams[*on]);
-        let Some(upstream) = upstream.filter(|on| on.contact == Contact::InTouch) else {
+        let upstream = self
+            .by_id
+            .get(id)
+            .map(|upstream_key| &self.upstreams[*upstream_key]);
+        let Some(upstream) = upstream.filter(|upstream| upstream.contact == Contact::Reachable)
+        else {
             let upstream = Arc::from(id);
             return RunEnd::TakenOver { upstream };
         };
         let upstream_id = upstream.listed.id.clone();
-        match upstream.found_ends.get(&run) {
+        match upstream.unclaimed_ends.get(&run) {
             Some(RunOutcome::Done) => RunEnd::Done {
                 work: Duration::ZERO,
             },
@@ -348,51 +374,59 @@
         }
     }
 
-    fn adopt_task(&mut self, now: Timestamp, key: HeldBatchKey, task: TaskIndex, id: &str) -> bool {
-        let batch = &mut self.batches[key];
+    fn adopt_task(
+        &mut self,
+        now: Timestamp,
+        batch_key: HeldBatchKey,
+        task: TaskIndex,
+        id: &str,
+    ) -> bool {
+        let batch = &mut self.batches[batch_key];
         let run = batch.run(task);
-        let (demand, expected_run_time) =
-            (batch.demand(task).demand, batch.expected_run_time(task));
-        let Some(on) = self.by_id.get(id).copied() else {
+        let (demand, expected_run_time) = (
+            batch.step_demand(task).demand,
+            batch.expected_run_time(task),
+        );
+        let Some(upstream_key) = self.by_id.get(id).copied() else {
             return false;
         };
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         if upstream.unclaimed_runs.swap_remove(&run).is_none() {
             return false;
         }
-        batch.tasks[task].state = HeldState::Running(on);
-        let mut leased = LeasedRun::starting((key, task), demand, expected_run_time, now);
+        batch.tasks[task].state = HeldState::Running(upstream_key);
+        let mut leased = LeasedRun::starting((batch_key, task), demand, expected_run_time, now);
         leased.phase = RunPhase::Active {
-            from: OrderId(self.next_order),
+            since_order: OrderId(self.next_order_id),
         };
         upstream.runs.insert(run, leased);
         tracing::info!(run = %run, upstream = id, "run adopted");
         true
     }
 
-    /// Whether some upstream here could run the task when nothing else ran.
-    fn can_ever_run(&self, key: HeldBatchKey, task: TaskIndex) -> bool {
-        let batch = &self.batches[key];
-        let demand = batch.demand(task);
+    /// Whether some upstream here could run the task if nothing else ran there.
+    fn can_ever_run(&self, batch_key: HeldBatchKey, task: TaskIndex) -> bool {
+        let batch = &self.batches[batch_key];
+        let step_demand = batch.step_demand(task);
         self.upstreams.values().any(|upstream| {
-            let label = demand.required_label.as_deref();
+            let label = step_demand.required_label.as_deref();
             upstream.is_usable()
                 && upstream.listed.service == batch.service
-                && demand.demand.fits(upstream.listed.capacity)
+                && step_demand.demand.fits(upstream.listed.capacity)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
         })
     }
 
-    /// Stops what is left of some batches of a home.
+    /// Drops batches that their home has cancelled, and stops their runs.
     pub(crate) fn cancel(&mut self, now: Timestamp, home: Incarnation, numbers: &[u64]) {
         for number in numbers {
-            if let Some(key) = self.by_number.get(&(home, *number)).copied() {
-                self.drop_batch(now, key);
+            if let Some(batch_key) = self.by_number.get(&(home, *number)).copied() {
+                self.drop_batch(now, batch_key);
             }
         }
     }
 
-    /// Drops the batches of a home that it does not hold open, among those it has sent.
+    /// Drops the batches of a home up to `highest_sent` that the home does not list as open.
     pub(crate) fn drop_closed_batches(
         &mut self,
         now: Timestamp,
@@ -403,59 +437,65 @@
         let of_home = self.by_number.iter().filter(|((of, _), _)| *of == home);
         let closed = of_home
             .filter(|((_, number), _)| *number <= highest_sent && !open.contains(number))
-            .map(|(_, key)| *key);
-        for key in closed.collect::<Vec<_>>() {
-            let batch = &self.batches[key];
-            tracing::warn!(job = %batch.job, batch = batch.number, "batch given up by its home");
-            self.drop_batch(now, key);
+            .map(|(_, batch_key)| *batch_key);
+        for batch_key in closed.collect::<Vec<_>>() {
+            let batch = &self.batches[batch_key];
+            tracing::warn!(job = %batch.job, batch = batch.number, "batch dropped: its home has closed it");
+            self.drop_batch(now, batch_key);
         }
     }
 
-    /// Drops everything of a home that is gone or out of reach.
+    /// Drops all batches of a home that has ended or is unreachable.
     pub(crate) fn drop_home(&mut self, now: Timestamp, home: Incarnation) {
         let of_home = self.by_number.iter().filter(|((of, _), _)| *of == home);
-        let keys: Vec<HeldBatchKey> = of_home.map(|(_, key)| *key).collect();
-        for key in keys {
-            let batch = &self.batches[key];
-            tracing::warn!(job = %batch.job, %home, "batch dropped: its home is out of reach");
-            self.drop_batch(now, key);
+        let keys: Vec<HeldBatchKey> = of_home.map(|(_, batch_key)| *batch_key).collect();
+        for batch_key in keys {
+            let batch = &self.batches[batch_key];
+            tracing::warn!(job = %batch.job, %home, "batch dropped: its home is unreachable");
+            self.drop_batch(now, batch_key);
         }
     }
 
-    fn drop_batch(&mut self, now: Timestamp, key: HeldBatchKey) {
-        let Some(batch) = self.remove_batch(key) else {
+    fn drop_batch(&mut self, now: Timestamp, batch_key: HeldBatchKey) {
+        let Some(batch) = self.remove_batch(batch_key) else {
             return;
         };
         for task in 0..batch.tasks.len() {
-            let HeldState::Running(on) = batch.tasks[task].state else {
+            let HeldState::Running(upstream_key) = batch.tasks[task].state else {
                 continue;
             };
             let run = batch.run(task);
-            let leased = self.upstreams.get_mut(on);
-            if let Some(leased) = leased.and_then(|on| on.runs.get_mut(&run)) {
-                leased.dropped_from = Some((batch.home, batch.number));
+            let upstream = self.upstreams.get_mut(upstream_key);
+            if let Some(leased) = upstream.and_then(|upstream| upstream.runs.get_mut(&run)) {
+                leased.dropped_batch = Some((batch.home, batch.number));
             }
-            self.stop(now, on, run, StopReason::Cancelled);
+            self.stop(now, upstream_key, run, StopReason::Cancelled);
         }
-        self.queue.retain(|(queued, _)| *queued != key);
+        self.queue.retain(|(queued, _)| *queued != batch_key);
         self.is_dirty = true;
     }
 
-    fn remove_batch(&mut self, key: HeldBatchKey) -> Option<HeldBatch> {
-        let batch = self.batches.remove(key)?;
+    fn remove_batch(&mut self, batch_key: HeldBatchKey) -> Option<HeldBatch> {
+        let batch = self.batches.remove(batch_key)?;
         self.by_number.swap_remove(&(batch.home, batch.number));
         Some(batch)
     }
 
-    /// The batches of a home that are held, and the highest number taken.
+    /// The numbers of the batches that are held for a home, and the highest number accepted from it.
     ///
-    /// A batch that was dropped counts as held until the last of its runs has surely ended.
+    /// A dropped batch counts as held until the last of its runs must have ended.
     pub(crate) fn held_batches_of(&self, now: Timestamp, home: Incarnation) -> (Vec<u64>, u64) {
-        let runs = self.upstreams.values().flat_map(|on| on.runs.values());
-        let stopping = runs.filter_map(|run| run.dropped_from);
-        let lingering = self.lingering.iter().filter(|(_, until)| **until > now);
+        let runs = self
+            .upstreams
+            .values()
+            .flat_map(|upstream| upstream.runs.values());
+        let stopping = runs.filter_map(|run| run.dropped_batch);
+        let possibly_running = self
+            .possibly_running
+            .iter()
+            .filter(|(_, until)| **until > now);
         let all = self.by_number.keys().copied().chain(stopping);
-        let all = all.chain(lingering.map(|(batch, _)| *batch));
+        let all = all.chain(possibly_running.map(|(batch, _)| *batch));
         let mut held: Vec<u64> = all
             .filter(|(of, _)| *of == home)
             .map(|(_, number)| number)
@@ -466,7 +506,7 @@
         (held, highest)
     }
 
-    /// The homes whose batches are held.
+    /// The homes of all held batches.
     pub(crate) fn homes(&self) -> Vec<Incarnation> {
         let mut homes: Vec<Incarnation> = self.by_number.keys().map(|(home, _)| *home).collect();
         homes.sort_unstable();
@@ -474,17 +514,18 @@
         homes
     }
 
-    /// Refuses new work and gives back what has not started.
+    /// Refuses new batches from now on, and reports the queued tasks as not started.
     pub(crate) fn leave(&mut self) {
         self.is_leaving = true;
-        for (key, task) in std::mem::take(&mut self.queue) {
-            self.report(key, task, RunEnd::NotStarted(NotStarted::Leaving));
+        for (batch_key, task) in std::mem::take(&mut self.queue) {
+            self.report(batch_key, task, RunEnd::NotStarted(NotStarted::Leaving));
         }
     }
 
-    /// Takes in how a task ended, and tells its home when that matters to it at once.
-    pub(crate) fn report(&mut self, key: HeldBatchKey, task: TaskIndex, end: RunEnd) {
-        let Some(batch) = self.batches.get_mut(key) else {
+    /// Records how a task ended. Notifies its home at once of the batch's last end and of any end but
+    /// done; other ends go with the next notice.
+    pub(crate) fn report(&mut self, batch_key: HeldBatchKey, task: TaskIndex, end: RunEnd) {
+        let Some(batch) = self.batches.get_mut(batch_key) else {
             return;
         };
         if batch.tasks[task].state == HeldState::Ended {
@@ -503,86 +544,88 @@
             });
         }
         if batch.open_tasks == 0 {
-            self.remove_batch(key);
+            self.remove_batch(batch_key);
         }
     }
 
-    /// Puts a task that did not start back in the queue.
+    /// Puts a task that did not start back into the queue; it prefers upstreams other than `avoid`.
     pub(crate) fn requeue(
         &mut self,
         task: Option<(HeldBatchKey, TaskIndex)>,
         avoid: Option<Arc<str>>,
     ) {
         self.is_dirty = true;
-        let Some((key, task)) = task else {
+        let Some((batch_key, task)) = task else {
             return;
         };
-        let Some(batch) = self.batches.get_mut(key) else {
+        let Some(batch) = self.batches.get_mut(batch_key) else {
             return;
         };
         batch.tasks[task].state = HeldState::Queued;
         batch.tasks[task].placed.avoid.extend(avoid);
         if self.is_leaving {
-            return self.report(key, task, RunEnd::NotStarted(NotStarted::Leaving));
+            return self.report(batch_key, task, RunEnd::NotStarted(NotStarted::Leaving));
         }
-        self.queue.push((key, task));
+        self.queue.push((batch_key, task));
     }
 
-    /// The number of the next order: orders from it on are given after what is known now.
-    pub(crate) fn next_order(&self) -> OrderId {
-        OrderId(self.next_order)
+    /// The id of the next order. Reports that answer this order or a later one include everything that
+    /// upstreams have confirmed so far.
+    pub(crate) fn next_order_id(&self) -> OrderId {
+        OrderId(self.next_order_id)
     }
 
-    /// Marks the queue for another look.
+    /// Makes the next [`Self::start_queued`] pass through the queue.
     pub(crate) fn mark_dirty(&mut self) {
         self.is_dirty = true;
     }
 
-    /// Starts what fits, in the order of the queue.
+    /// Starts the queued tasks that fit somewhere, in the order of the ranking, and drops those that
+    /// have waited too long.
     pub(crate) fn start_queued(&mut self, now: Timestamp) {
         if !std::mem::take(&mut self.is_dirty) || self.queue.is_empty() {
             return;
         }
-        self.drop_late(now);
+        self.drop_too_late(now);
         let mut queue = std::mem::take(&mut self.queue);
-        queue.sort_by_cached_key(|(key, task)| {
-            let batch = &self.batches[*key];
-            self.order.rank(now, &queued_view(batch, *task))
+        queue.sort_by_cached_key(|(batch_key, task)| {
+            let batch = &self.batches[*batch_key];
+            self.ranking.rank(now, &queued_task(batch, *task))
         });
         let mut bypasses = 0;
         let mut left = Vec::new();
-        for (key, task) in queue {
+        for (batch_key, task) in queue {
             let upstream = match bypasses < MAX_BYPASSES {
-                true => self.upstream_for(now, key, task),
+                true => self.choose_upstream(now, batch_key, task),
                 false => None,
             };
             match upstream {
-                Some(on) => self.start(now, on, key, task),
+                Some(upstream_key) => self.start(now, upstream_key, batch_key, task),
                 None => {
                     bypasses += 1;
-                    left.push((key, task));
+                    left.push((batch_key, task));
                 }
             }
         }
         self.queue = left;
         self.drop_overdue(now);
-        self.wake_for_next_late();
+        self.wake_for_next_drop();
     }
 
     /// Drops queued tasks that could no longer end before their callers leave.
-    fn drop_late(&mut self, now: Timestamp) {
-        let start_by = |batch: &HeldBatch, task| batch.start_by(task);
-        self.drop_queued(now, start_by, NotStarted::TooLate);
+    fn drop_too_late(&mut self, now: Timestamp) {
+        let latest_start = |batch: &HeldBatch, task| batch.latest_start(task);
+        self.drop_queued(now, latest_start, NotStarted::TooLate);
     }
 
-    /// Drops queued tasks for which no room was found until their jobs should have ended, where
-    /// these have not begun.
+    /// Drops queued tasks that have found no free capacity before their job's objective passed, where
+    /// the job has not begun.
     fn drop_overdue(&mut self, now: Timestamp) {
         let waits_until = |batch: &HeldBatch, task| batch.waits_until(task);
         self.drop_queued(now, waits_until, NotStarted::Overdue);
     }
 
-    /// Drops queued tasks whose time has passed.
+    /// Drops queued tasks whose time limit has passed, as not started for this reason.
     fn drop_queued(
         &mut self,
         now: Timestamp,
@@ -590,99 +633,111 @@
         reason: NotStarted,
     ) {
         let batches = &self.batches;
-        let is_over = |(key, task): &mut (HeldBatchKey, TaskIndex)| {
-            let batch = batches.get(*key);
+        let is_expired = |(batch_key, task): &mut (HeldBatchKey, TaskIndex)| {
+            let batch = batches.get(*batch_key);
             batch.is_none_or(|batch| until(batch, *task) < now)
         };
-        let over: Vec<(HeldBatchKey, TaskIndex)> = self.queue.extract_if(.., is_over).collect();
-        for (key, task) in over {
-            self.report(key, task, RunEnd::NotStarted(reason));
+        let expired: Vec<(HeldBatchKey, TaskIndex)> =
+            self.queue.extract_if(.., is_expired).collect();
+        for (batch_key, task) in expired {
+            self.report(batch_key, task, RunEnd::NotStarted(reason));
         }
     }
 
-    fn wake_for_next_late(&mut self) {
+    fn wake_for_next_drop(&mut self) {
         let batches = &self.batches;
-        let start_bys = self
+        let limits = self
             .queue
             .iter()
-            .map(|(key, task)| batches[*key].waits_until(*task));
-        if let Some(at) = start_bys.min() {
+            .map(|(batch_key, task)| batches[*batch_key].waits_until(*task));
+        if let Some(at) = limits.min() {
             let after = at + Duration::from_millis(1);
             self.timers.subscribe(after, OwnerTimer::Dispatch);
         }
     }
 
-    fn upstream_for(
+    fn choose_upstream(
         &self,
         now: Timestamp,
-        key: HeldBatchKey,
+        batch_key: HeldBatchKey,
         task: TaskIndex,
     ) -> Option<LeasedUpstreamKey> {
-        let batch = &self.batches[key];
-        let demand = batch.demand(task);
+        let batch = &self.batches[batch_key];
+        let step_demand = batch.step_demand(task);
         let avoid = &batch.tasks[task].placed.avoid;
-        let mut keys = Vec::new();
+        let mut candidate_keys = Vec::new();
         let mut candidates = Vec::new();
-        for (on, upstream) in &self.upstreams {
+        for (upstream_key, upstream) in &self.upstreams {
             let free = upstream.free();
-            let label = demand.required_label.as_deref();
-            let takes = upstream.listed.service == batch.service
-                && demand.demand.fits(free)
+            let label = step_demand.required_label.as_deref();
+            let is_candidate = upstream.listed.service == batch.service
+                && step_demand.demand.fits(free)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
-                && upstream.takes_work(now)
-                && self.is_within_limit(on, key, task);
-            if !takes {
+                && upstream.can_take_work(now)
+                && self.is_within_limit(upstream_key, batch_key, task);
+            if !is_candidate {
                 continue;
             }
-            let rack = demand.data_rack.as_deref();
-            keys.push(on);
+            let rack = step_demand.data_rack.as_deref();
+            candidate_keys.push(upstream_key);
             candidates.push(CandidateUpstream {
                 avoided: avoid.contains(&upstream.listed.id),
                 far_from_data: rack.is_some_and(|rack| !upstream.listed.has_label(rack)),
                 slowness_percent: upstream.speed.slowness_percent(),
-                left_millicores: free.minus(demand.demand).cpu_millicores,
+                left_millicores: free.minus(step_demand.demand).cpu_millicores,
                 distance: 0,
             });
         }
         let placement_request = batch.placement_request(now, task);
         let chosen = self.choice.choose(&placement_request, &candidates);
-        chosen.map(|index| keys[index])
+        chosen.map(|index| candidate_keys[index])
     }
 
     /// Whether one more task of the step may run on the upstream.
-    fn is_within_limit(&self, on: LeasedUpstreamKey, key: HeldBatchKey, task: TaskIndex) -> bool {
-        let batch = &self.batches[key];
-        let Some(most) = batch.demand(task).most_per_upstream else {
+    fn is_within_limit(
+        &self,
+        upstream_key: LeasedUpstreamKey,
+        batch_key: HeldBatchKey,
+        task: TaskIndex,
+    ) -> bool {
+        let batch = &self.batches[batch_key];
+        let Some(max) = batch.step_demand(task).most_per_upstream else {
             return true;
         };
         let name = batch.run(task).task;
-        let runs = self.upstreams[on].runs.keys();
+        let runs = self.upstreams[upstream_key].runs.keys();
         let same_step = runs.filter(|run| run.task.job == name.job && run.task.step == name.step);
-        same_step.count() < most as usize
+        same_step.count() < max as usize
     }
 
-    fn start(&mut self, now: Timestamp, on: LeasedUpstreamKey, key: HeldBatchKey, task: TaskIndex) {
-        let batch = &mut self.batches[key];
+    fn start(
+        &mut self,
+        now: Timestamp,
+        upstream_key: LeasedUpstreamKey,
+        batch_key: HeldBatchKey,
+        task: TaskIndex,
+    ) {
+        let batch = &mut self.batches[batch_key];
         let run = batch.run(task);
-        let demand = batch.demand(task);
-        let (demand, expected) = (demand.demand, batch.expected_run_time(task));
+        let step_demand = batch.step_demand(task);
+        let (demand, expected) = (step_demand.demand, batch.expected_run_time(task));
         let spec = batch.spec.clone();
-        let waited_ms = whole_ms(now.since(batch.taken_at));
-        batch.tasks[task].state = HeldState::Running(on);
+        let waited_ms = whole_ms(now.since(batch.accepted_at));
+        batch.tasks[task].state = HeldState::Running(upstream_key);
         batch.has_begun = true;
         let lease = self.lease;
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         let expected = expected.mul_f64(upstream.speed.slowness());
         let Some(lease_until_ms) = upstream.extend_lease(now, lease) else {
-            return self.requeue(Some((key, task)), None);
+            return self.requeue(Some((batch_key, task)), None);
         };
-        let leased = LeasedRun::starting((key, task), demand, expected, now);
+        let leased = LeasedRun::starting((batch_key, task), demand, expected, now);
         upstream.runs.insert(run, leased);
         if upstream.runs.len() == 1 {
-            // The hold under way may wait long, and its answer may be lost.
-            let overdue = OwnerTimer::Overdue(on, now);
-            let at = now + expected * OVERDUE_PERCENT / 100 + OVERDUE_MARGIN;
-            self.timers.subscribe(at, overdue);
+            // The pending renew order may wait long, and its answer may be lost.
+            let end_expected = OwnerTimer::EndExpected(upstream_key, now);
+            let at = now + expected * END_CHECK_PERCENT / 100 + END_CHECK_MARGIN;
+            self.timers.subscribe(at, end_expected);
         }
         let fence = upstream.fence;
         let slowness_percent = upstream.speed.slowness_percent();
@@ -697,18 +752,18 @@
             lease_until_ms,
             fence,
         };
-        self.give(now, on, PendingKind::Start(run), order);
+        self.send_order(now, upstream_key, PendingKind::Start(run), order);
     }
 
-    /// Orders a run to stop, whatever is known of it.
+    /// Orders a run to stop, also one whose start is unconfirmed or that another owner ordered.
     pub(crate) fn stop(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         reason: StopReason,
     ) {
-        let Some(upstream) = self.upstreams.get_mut(on) else {
+        let Some(upstream) = self.upstreams.get_mut(upstream_key) else {
             return;
         };
         let fence = upstream.fence;
@@ -725,33 +780,33 @@
             job = %run.task.job, run = %run, upstream = %upstream.listed.id, fence, %reason,
             "stop ordered"
         );
-        self.give(
+        self.send_order(
             now,
-            on,
+            upstream_key,
             PendingKind::Stop(run),
             RunOrder::Stop { run, fence },
         );
     }
 
-    /// Gives an order.
-    pub(crate) fn give(
+    /// Sends an order and records it as pending.
+    pub(crate) fn send_order(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         kind: PendingKind,
         order: RunOrder,
     ) {
-        let number = OrderId(self.next_order);
-        self.next_order += 1;
+        let order_id = OrderId(self.next_order_id);
+        self.next_order_id += 1;
         let pending = PendingOrder {
-            upstream: on,
+            upstream: upstream_key,
             sent_at: now,
             kind,
         };
-        self.orders.insert(number, pending);
-        let listed = &self.upstreams[on].listed;
+        self.orders.insert(order_id, pending);
+        let listed = &self.upstreams[upstream_key].listed;
         self.actions.push(RunAction::Order {
-            order: number,
+            order: order_id,
             order_to: AddressedOrder {
                 upstream: listed.id.clone(),
                 address: listed.address,
@@ -760,20 +815,24 @@
         });
     }
 
-    /// Learns the speeds of the upstreams that ran a batch once its last task is done: tasks of
-    /// one step take nearly the same.
+    /// Records a done run; once the batch's last task is done, learns the speeds of the upstreams that
+    /// ran it, since tasks of one step have nearly the same run time.
     pub(crate) fn learn_speeds(
         &mut self,
-        on: LeasedUpstreamKey,
-        key: HeldBatchKey,
+        upstream_key: LeasedUpstreamKey,
+        batch_key: HeldBatchKey,
         task: TaskIndex,
         took: Duration,
     ) {
-        let Some(batch) = self.batches.get_mut(key) else {
+        let Some(batch) = self.batches.get_mut(batch_key) else {
             return;
         };
         let step = batch.tasks[task].placed.step;
-        batch.done_runs.push(DoneRun { step, on, took });
+        batch.done_runs.push(DoneRun {
+            step,
+            upstream_key,
+            took,
+        });
         if batch.open_tasks > 1 {
             return;
         }
@@ -787,33 +846,33 @@
     }
 
     fn learn_from_step(&mut self, declared: Duration, runs: &[&DoneRun]) {
-        let at_usual_speed = |run: &DoneRun| {
-            let upstream = self.upstreams.get(run.on);
-            let log_slowness = upstream.map_or(0.0, |on| on.speed.log_slowness());
-            log_s(run.took) - log_slowness
+        let ln_at_usual_speed = |run: &DoneRun| {
+            let upstream = self.upstreams.get(run.upstream_key);
+            let log_slowness = upstream.map_or(0.0, |upstream| upstream.speed.log_slowness());
+            ln_seconds(run.took) - log_slowness
         };
-        let logs: Vec<f64> = runs.iter().map(|run| at_usual_speed(run)).collect();
+        let logs: Vec<f64> = runs.iter().map(|run| ln_at_usual_speed(run)).collect();
         let sum: f64 = logs.iter().sum();
-        let siblings = runs.len().saturating_sub(1);
+        let others = runs.len().saturating_sub(1);
         for (run, log) in runs.iter().zip(logs) {
-            let Some(upstream) = self.upstreams.get_mut(run.on) else {
+            let Some(upstream) = self.upstreams.get_mut(run.upstream_key) else {
                 continue;
             };
-            let mean = (sum - log) / siblings.max(1) as f64;
-            upstream.speed.observe_beside(run.took, mean, siblings);
+            let mean = (sum - log) / others.max(1) as f64;
+            upstream.speed.observe_within_step(run.took, mean, others);
             let speed = &mut upstream.speed;
             speed.observe_declared(declared, run.took, runs.len());
         }
     }
 
-    /// Takes back ejections that the limits do not allow.
+    /// Takes back ejections of a service's upstreams that the ejection gate does not allow.
     pub(crate) fn review_ejections(&mut self, now: Timestamp, service: &str) {
         let of_service = self.upstreams.values_mut();
         let of_service = of_service.filter(|upstream| &*upstream.listed.service == service);
         EjectionGate.review(now, of_service.map(|upstream| &mut upstream.health));
     }
 
-    /// The load by service.
+    /// The load of each service with usable upstreams here; none while leaving.
     pub(crate) fn loads(&self, now: Timestamp) -> Vec<RunLoad> {
         let mut loads: IndexMap<Arc<str>, RunLoad> = IndexMap::new();
         for upstream in self.upstreams.values() {
@@ -829,7 +888,7 @@
                 queued_tasks: 0,
             });
             load.total += upstream.listed.capacity;
-            if upstream.takes_work(now) {
+            if upstream.can_take_work(now) {
                 load.free.push(FreeUpstream {
                     name: short_name(&upstream.listed.id),
                     free: upstream.free(),
@@ -837,8 +896,8 @@
                 });
             }
         }
-        for (key, task) in &self.queue {
-            let batch = &self.batches[*key];
+        for (batch_key, task) in &self.queue {
+            let batch = &self.batches[*batch_key];
             if let Some(load) = loads.get_mut(&batch.service) {
                 load.queued_tasks += 1;
                 load.queued_core_ms += batch.core_ms(*task);
@@ -847,23 +906,23 @@
         loads.into_values().collect()
     }
 
-    /// Whether nothing of any home is held.
+    /// Whether no batch is held.
     pub(crate) fn is_idle(&self) -> bool {
         self.batches.is_empty()
     }
 
-    /// The tasks that wait for room.
+    /// The number of tasks that wait for free capacity.
     pub(crate) fn queued_tasks(&self) -> usize {
         self.queue.len()
     }
 }
 
-fn queued_view(batch: &HeldBatch, task: TaskIndex) -> QueuedView {
+fn queued_task(batch: &HeldBatch, task: TaskIndex) -> QueuedTask {
     let expected_us = batch.expected_run_time(task).as_micros();
-    QueuedView {
+    QueuedTask {
         objective_at_us: batch.objective_at_us,
         expected_run_us: i64::try_from(expected_us).unwrap_or(i64::MAX),
-        taken_at: batch.taken_at,
+        accepted_at: batch.accepted_at,
         priority: batch.priority,
         has_begun: batch.has_begun,
     }
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -1,4 +1,4 @@
-//! What an owner makes of the answers to its orders, and of answers that stay out.
+//! How an owner handles the answers to its orders, and orders that stay unanswered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,84 +35,90 @@
 use crate::health::HealthChange;
 use crate::time::Timestamp;
 
-/// How long a hold waits for an end while something runs.
+/// How long a renew order may wait for an end while something runs.
 ///
-/// Most are answered sooner, by an end. One whose answer is lost delays the ends by this time.
+/// Most are answered sooner, by an end. A lost answer delays the reports of ends by this time.
 pub(crate) const BUSY_RENEW_WAIT: Duration = Duration::from_millis(120);
 
-/// How long a hold waits for an end while nothing runs; a start lasts longer by itself.
+/// How long a renew order may wait for an end while nothing runs. A task that starts meanwhile needs
+/// no renewal before: the lease that it starts with lasts longer.
 pub(crate) const IDLE_RENEW_WAIT: Duration = Duration::from_millis(500);
 
-/// The shortest time between two holds that bring nothing new.
+/// The minimum time between two renew orders when the first one was answered without a new end.
 const MIN_RENEW_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long after a hold without an answer the next look follows.
-const SILENT_RETRY: Duration = Duration::from_millis(100);
+/// How long after an unanswered renew order the next one is sent to an unreachable upstream with runs.
+const UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// How long after a hold without an answer the next look follows where nothing runs.
-const IDLE_SILENT_RETRY: Duration = Duration::from_millis(400);
+/// How long after an unanswered renew order the next one is sent to an unreachable upstream without
+/// runs.
+const IDLE_UNREACHABLE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// How long after a stop without an answer it is ordered again.
-const STOP_RETRY: Duration = Duration::from_millis(40);
+/// How long after an unanswered or failed stop it is ordered again, and after an unanswered probe the
+/// next one is sent.
+const STOP_RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// How long a run may last under a newer owner: it stops what no home claims, and where its order
-/// does not arrive a lease of a second runs out.
-const LINGERING: Duration = Duration::from_millis(1_400);
+/// How long a run that no home claims may go on under a newer owner: that owner stops it after the
+/// claim timeout, and if the stop does not arrive, its lease of a second expires.
+const MAX_RUN_UNDER_NEWER_OWNER: Duration = Duration::from_millis(1_400);
 
-/// The expected run time from which a run is looked at early: a wrong upstream costs most there.
-const LONG_RUN: Duration = Duration::from_millis(400);
+/// The minimum expected run time of a run whose progress is probed early: a slow upstream
+/// delays long runs most.
+const MIN_EARLY_PROBE_RUN_TIME: Duration = Duration::from_millis(400);
 
-/// How long after its start the progress of a long run tells its end to about a tenth.
-const FIRST_PROGRESS: Duration = Duration::from_millis(130);
+/// How long after its start the progress of a long run is probed: by then it predicts the run time to
+/// about a tenth.
+const EARLY_PROBE_DELAY: Duration = Duration::from_millis(130);
 
-/// How long homes may take to claim runs that were found on an upstream.
+/// How long homes may take to claim announced runs before these are stopped.
 ///
-/// A message and its answer take a few milliseconds; a busy instance some tens.
-const CLAIM_TIME: Duration = Duration::from_millis(250);
+/// A message and its answer take a few milliseconds, at a busy instance some tens.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How long nobody may have listened for an end whose time still counts as known.
-const LISTENING_GAP: Duration = Duration::from_millis(20);
+/// The maximum time between an upstream's previous report and the sending of the order whose answer
+/// lists an end, for the end's time to count as exact: in between no order waits for ends.
+const MAX_EXACT_END_GAP: Duration = Duration::from_millis(20);
 
-/// The order that an upstream answered with a list.
+/// The renew order that a report answers.
 #[derive(Clone, Copy, Debug)]
-struct Look {
+struct AnsweredOrder {
     order: OrderId,
     sent_at: Timestamp,
 }
 
 impl Owner {
-    /// Takes in what came back of an order.
+    /// Handles the answer to an order, or the lack of one.
     pub(crate) fn order_answered(&mut self, now: Timestamp, order: OrderId, answer: OrderAnswer) {
         let Some(pending) = self.orders.swap_remove(&order) else {
             return;
         };
-        let on = pending.upstream;
-        if !self.upstreams.contains_key(on) {
+        let upstream_key = pending.upstream;
+        if !self.upstreams.contains_key(upstream_key) {
             return self.superseded_start_answered(now, order, &answer);
         }
-        self.read_clock(now, on, &answer);
+        self.read_clock(now, upstream_key, &answer);
         match pending.kind {
-            PendingKind::Start(run) => self.start_answered(now, on, run, answer),
-            PendingKind::Stop(run) => self.stop_answered(now, on, run, &answer),
+            PendingKind::Start(run) => self.start_answered(now, upstream_key, run, answer),
+            PendingKind::Stop(run) => self.stop_answered(now, upstream_key, run, &answer),
             PendingKind::Renew => {
-                self.upstreams[on].is_renew_pending = false;
-                let look = Look {
+                self.upstreams[upstream_key].is_renew_pending = false;
+                let answered = AnsweredOrder {
                     order,
                     sent_at: pending.sent_at,
                 };
-                self.renew_answered(now, on, look, answer);
+                self.renew_answered(now, upstream_key, answered, answer);
             }
             PendingKind::Probe => {
-                let look = Look {
+                let answered = AnsweredOrder {
                     order,
                     sent_at: pending.sent_at,
                 };
-                self.probe_answered(now, on, look, answer);
+                self.probe_answered(now, upstream_key, answered, answer);
             }
         }
     }
 
-    /// Takes in what came of a start that was under way when its upstream got a newer owner.
+    /// Handles the answer to a start that was in flight when its upstream got a newer owner.
     fn superseded_start_answered(&mut self, now: Timestamp, order: OrderId, answer: &OrderAnswer) {
         let Some(SupersededStart { task, upstream }) = self.superseded_starts.swap_remove(&order)
         else {
@@ -126,74 +132,81 @@
 
     /// Reports that a run may go on under a newer owner.
     ///
-    /// The report may get lost, so that its batch counts as held until the run has surely ended.
+    /// The report may get lost, so its batch counts as held until the run must have ended.
     fn hand_over(&mut self, now: Timestamp, task: (HeldBatchKey, TaskIndex), upstream: &Arc<str>) {
-        let (key, index) = task;
-        if let Some(batch) = self.batches.get(key) {
+        let (batch_key, index) = task;
+        if let Some(batch) = self.batches.get(batch_key) {
             let name = (batch.home, batch.number);
-            self.lingering.insert(name, now + LINGERING);
+            self.possibly_running
+                .insert(name, now + MAX_RUN_UNDER_NEWER_OWNER);
         }
         let upstream = upstream.clone();
-        self.report(key, index, RunEnd::TakenOver { upstream });
+        self.report(batch_key, index, RunEnd::TakenOver { upstream });
     }
 
-    fn read_clock(&mut self, now: Timestamp, on: LeasedUpstreamKey, answer: &OrderAnswer) {
+    fn read_clock(
+        &mut self,
+        now: Timestamp,
+        upstream_key: LeasedUpstreamKey,
+        answer: &OrderAnswer,
+    ) {
         let clock_ms = match answer {
             OrderAnswer::Done { clock_ms } | OrderAnswer::Refused { clock_ms, .. } => *clock_ms,
             _ => None,
         };
         if let Some(clock_ms) = clock_ms {
-            self.upstreams[on].clock = Some(UpstreamClock::new(clock_ms, now));
+            self.upstreams[upstream_key].clock = Some(UpstreamClock::new(clock_ms, now));
         }
     }
 
     fn start_answered(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         answer: OrderAnswer,
     ) {
-        let from = self.next_order();
-        let Some(leased) = self.upstreams[on].runs.get_mut(&run) else {
+        let since_order = self.next_order_id();
+        let Some(leased) = self.upstreams[upstream_key].runs.get_mut(&run) else {
             return;
         };
         match answer {
             OrderAnswer::Done { .. } | OrderAnswer::Renewed(_) => {
                 if leased.phase == RunPhase::Starting {
-                    leased.phase = RunPhase::Active { from };
-                    if leased.expected_run_time >= LONG_RUN {
-                        let probe = OwnerTimer::Probe(on);
-                        self.timers.subscribe(now + FIRST_PROGRESS, probe);
+                    leased.phase = RunPhase::Active { since_order };
+                    if leased.expected_run_time >= MIN_EARLY_PROBE_RUN_TIME {
+                        let probe = OwnerTimer::Probe(upstream_key);
+                        self.timers.subscribe(now + EARLY_PROBE_DELAY, probe);
                     }
                 }
             }
             OrderAnswer::Lost => {
                 if leased.phase == RunPhase::Starting {
                     tracing::warn!(job = %run.task.job, run = %run, "start not answered");
-                    leased.phase = RunPhase::Uncertain { from };
+                    leased.phase = RunPhase::Uncertain { since_order };
                 }
-                self.probe(now, on);
+                self.probe(now, upstream_key);
             }
             OrderAnswer::NotSent => {
-                self.start_refused(now, on, run, None);
-                self.fall_silent(now, on);
+                self.start_refused(now, upstream_key, run, None);
+                self.mark_unreachable(now, upstream_key);
             }
             OrderAnswer::Refused { refusal, .. } => {
-                self.start_refused(now, on, run, Some(refusal));
+                self.start_refused(now, upstream_key, run, Some(refusal));
             }
         }
     }
 
-    /// Takes back a run that the upstream did not start, and looks for another place.
+    /// Removes a run that the upstream did not start; requeues its task, or ends it where another
+    /// upstream would refuse it as well. `refusal` is none when the order was not sent.
     fn start_refused(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         refusal: Option<OrderRefusal>,
     ) {
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         let Some(leased) = upstream.runs.swap_remove(&run) else {
             return;
         };
@@ -205,61 +218,61 @@
             "start refused"
         );
         match refusal {
-            Some(OrderRefusal::OldRun) => self.end_task(leased.task, NotStarted::OldRun),
-            Some(OrderRefusal::Invalid) => self.end_task(leased.task, NotStarted::Invalid),
+            Some(OrderRefusal::OldRun) => self.report_unstarted(leased.task, NotStarted::OldRun),
+            Some(OrderRefusal::Invalid) => self.report_unstarted(leased.task, NotStarted::Invalid),
             Some(OrderRefusal::NoCapacity) => {
                 upstream.health.on_refusal(now);
                 self.requeue(leased.task, None);
-                self.wake_after_health(now, on);
+                self.wake_on_health_change(now, upstream_key);
             }
             Some(OrderRefusal::LeaseExpired) => {
                 self.requeue(leased.task, None);
-                self.probe(now, on);
+                self.probe(now, upstream_key);
             }
             Some(OrderRefusal::Unhealthy) => {
-                self.count_failure(now, on);
+                self.count_failure(now, upstream_key);
                 self.requeue(leased.task, Some(id));
             }
             Some(OrderRefusal::Fence) => {
                 self.requeue(leased.task, None);
-                self.lose_to_newer_owner(now, on);
+                self.relinquish_to_newer_owner(now, upstream_key);
             }
             Some(OrderRefusal::OtherIncarnation) => {
                 self.requeue(leased.task, None);
-                self.lose_upstream(now, on);
+                self.on_upstream_replaced(now, upstream_key);
             }
             None => self.requeue(leased.task, Some(id)),
         }
     }
 
-    fn end_task(&mut self, task: Option<(HeldBatchKey, TaskIndex)>, why: NotStarted) {
+    fn report_unstarted(&mut self, task: Option<(HeldBatchKey, TaskIndex)>, why: NotStarted) {
         self.mark_dirty();
-        if let Some((key, task)) = task {
-            self.report(key, task, RunEnd::NotStarted(why));
+        if let Some((batch_key, task)) = task {
+            self.report(batch_key, task, RunEnd::NotStarted(why));
         }
     }
 
     fn stop_answered(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         answer: &OrderAnswer,
     ) {
         match answer {
-            OrderAnswer::Done { .. } => self.stop_acknowledged(now, on, run),
+            OrderAnswer::Done { .. } => self.stop_acknowledged(now, upstream_key, run),
             OrderAnswer::Refused { refusal, .. } => match refusal {
-                OrderRefusal::Fence => self.lose_to_newer_owner(now, on),
-                OrderRefusal::OtherIncarnation => self.lose_upstream(now, on),
-                _ => self.stop_later(now, on, run),
+                OrderRefusal::Fence => self.relinquish_to_newer_owner(now, upstream_key),
+                OrderRefusal::OtherIncarnation => self.on_upstream_replaced(now, upstream_key),
+                _ => self.schedule_stop_retry(now, upstream_key, run),
             },
-            _ => self.stop_later(now, on, run),
+            _ => self.schedule_stop_retry(now, upstream_key, run),
         }
     }
 
-    fn stop_acknowledged(&mut self, now: Timestamp, on: LeasedUpstreamKey, run: RunId) {
-        let from = self.next_order();
-        let Some(leased) = self.upstreams[on].runs.get_mut(&run) else {
+    fn stop_acknowledged(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey, run: RunId) {
+        let since_order = self.next_order_id();
+        let Some(leased) = self.upstreams[upstream_key].runs.get_mut(&run) else {
             return;
         };
         let RunPhase::Stopping {
@@ -269,102 +282,108 @@
         else {
             return;
         };
-        *acknowledged = Some(from);
+        *acknowledged = Some(since_order);
         let may_not_have_started = *reason == StopReason::Uncertain;
         if may_not_have_started {
-            self.probe(now, on);
+            self.probe(now, upstream_key);
         }
     }
 
-    fn stop_later(&mut self, now: Timestamp, on: LeasedUpstreamKey, run: RunId) {
-        let again = OwnerTimer::StopAgain(on, run);
-        self.timers.subscribe(now + STOP_RETRY, again);
+    fn schedule_stop_retry(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey, run: RunId) {
+        let again = OwnerTimer::StopRetry(upstream_key, run);
+        self.timers.subscribe(now + STOP_RETRY_DELAY, again);
     }
 
     fn renew_answered(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
         answer: OrderAnswer,
     ) {
         match answer {
             OrderAnswer::Renewed(report) => {
-                let brought_news = self.take_report(now, on, look, report);
-                let came_early = now.since(look.sent_at) < MIN_RENEW_INTERVAL;
-                if !self.upstreams.contains_key(on) {
+                let has_new_ends = self.apply_report(now, upstream_key, answered, report);
+                let is_early = now.since(answered.sent_at) < MIN_RENEW_INTERVAL;
+                if !self.upstreams.contains_key(upstream_key) {
                     return;
                 }
-                if brought_news || !came_early {
-                    self.renew(now, on);
+                if has_new_ends || !is_early {
+                    self.renew(now, upstream_key);
                 } else {
                     self.timers
-                        .subscribe(now + MIN_RENEW_INTERVAL, OwnerTimer::Renew(on));
+                        .subscribe(now + MIN_RENEW_INTERVAL, OwnerTimer::Renew(upstream_key));
                 }
             }
             OrderAnswer::Refused { refusal, .. } => {
-                self.renew_refused(now, on, refusal);
+                self.renew_refused(now, upstream_key, refusal);
             }
-            _ => self.renew_missed(now, on),
+            _ => self.renew_missed(now, upstream_key),
         }
     }
 
-    /// Looks again at once after a hold without an answer: one may be lost on its way.
-    fn renew_missed(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let upstream = &mut self.upstreams[on];
-        let is_first = upstream.contact == Contact::InTouch && !upstream.has_missed_renew;
+    /// Handles an unanswered renew order: repeats the first one at once, since a single message may be
+    /// lost, and counts the upstream as unreachable after the second.
+    fn renew_missed(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let upstream = &mut self.upstreams[upstream_key];
+        let is_first = upstream.contact == Contact::Reachable && !upstream.has_missed_renew;
         upstream.has_missed_renew = true;
         if is_first {
-            return self.renew(now, on);
+            return self.renew(now, upstream_key);
         }
-        self.fall_silent(now, on);
+        self.mark_unreachable(now, upstream_key);
     }
 
     fn probe_answered(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
         answer: OrderAnswer,
     ) {
         match answer {
             OrderAnswer::Renewed(report) => {
-                self.take_report(now, on, look, report);
+                self.apply_report(now, upstream_key, answered, report);
             }
             OrderAnswer::Refused { refusal, .. } => {
-                self.renew_refused(now, on, refusal);
+                self.renew_refused(now, upstream_key, refusal);
             }
-            // The hold beside it tells whether the upstream is silent.
-            _ => self.retry_probe(now, on),
+            // The renew order beside it shows whether the upstream is unreachable.
+            _ => self.retry_probe(now, upstream_key),
         }
     }
 
-    /// Looks once more soon where a start or a stop still waits to be confirmed.
-    fn retry_probe(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let mut runs = self.upstreams[on].runs.values();
-        let is_unclear = runs.any(|run| !matches!(run.phase, RunPhase::Active { .. }));
-        if is_unclear {
-            let probe = OwnerTimer::Probe(on);
-            self.timers.subscribe(now + STOP_RETRY, probe);
+    /// Probes again soon where a start or a stop is still unconfirmed.
+    fn retry_probe(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let mut runs = self.upstreams[upstream_key].runs.values();
+        let is_unconfirmed = runs.any(|run| !matches!(run.phase, RunPhase::Active { .. }));
+        if is_unconfirmed {
+            let probe = OwnerTimer::Probe(upstream_key);
+            self.timers.subscribe(now + STOP_RETRY_DELAY, probe);
         }
     }
 
-    fn renew_refused(&mut self, now: Timestamp, on: LeasedUpstreamKey, refusal: OrderRefusal) {
+    fn renew_refused(
+        &mut self,
+        now: Timestamp,
+        upstream_key: LeasedUpstreamKey,
+        refusal: OrderRefusal,
+    ) {
         match refusal {
-            OrderRefusal::Fence => self.lose_to_newer_owner(now, on),
-            OrderRefusal::OtherIncarnation => self.lose_upstream(now, on),
+            OrderRefusal::Fence => self.relinquish_to_newer_owner(now, upstream_key),
+            OrderRefusal::OtherIncarnation => self.on_upstream_replaced(now, upstream_key),
             _ => {
-                let id = &self.upstreams[on].listed.id;
-                tracing::warn!(upstream = %id, %refusal, "hold refused");
-                self.fall_silent(now, on);
+                let id = &self.upstreams[upstream_key].listed.id;
+                tracing::warn!(upstream = %id, %refusal, "renew order refused");
+                self.mark_unreachable(now, upstream_key);
             }
         }
     }
 
-    /// Renews the leases on an upstream and waits for ends, unless that is under way.
-    pub(crate) fn renew(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
+    /// Sends an order that renews the leases on an upstream and waits for ends, unless one is pending.
+    pub(crate) fn renew(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
         let lease = self.lease;
-        let Some(upstream) = self.upstreams.get_mut(on) else {
+        let Some(upstream) = self.upstreams.get_mut(upstream_key) else {
             return;
         };
         if upstream.is_renew_pending {
@@ -372,14 +391,14 @@
         }
         upstream.is_renew_pending = true;
         let wait = match upstream.contact {
-            Contact::InTouch if upstream.has_missed_renew => Duration::ZERO,
-            Contact::InTouch if upstream.runs.is_empty() => IDLE_RENEW_WAIT,
-            Contact::InTouch => BUSY_RENEW_WAIT,
+            Contact::Reachable if upstream.has_missed_renew => Duration::ZERO,
+            Contact::Reachable if upstream.runs.is_empty() => IDLE_RENEW_WAIT,
+            Contact::Reachable => BUSY_RENEW_WAIT,
             _ => Duration::ZERO,
         };
-        // An upstream that does not answer is looked at without renewing: its leases are to run out.
+        // Leases are not renewed on an upstream that does not answer, so that they expire in time.
         let lease_until_ms = match upstream.contact {
-            Contact::InTouch if !upstream.has_missed_renew => upstream.extend_lease(now, lease),
+            Contact::Reachable if !upstream.has_missed_renew => upstream.extend_lease(now, lease),
             _ => None,
         };
         let order = RunOrder::Renew {
@@ -388,12 +407,12 @@
             acknowledged_end: upstream.acknowledged_end,
             wait,
         };
-        self.give(now, on, PendingKind::Renew, order);
+        self.send_order(now, upstream_key, PendingKind::Renew, order);
     }
 
-    /// Looks at an upstream at once, beside a hold that waits.
-    fn probe(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let Some(upstream) = self.upstreams.get(on) else {
+    /// Polls an upstream for an immediate report, beside a waiting renew order.
+    fn probe(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let Some(upstream) = self.upstreams.get(upstream_key) else {
             return;
         };
         let order = RunOrder::Renew {
@@ -402,72 +421,74 @@
             acknowledged_end: upstream.acknowledged_end,
             wait: Duration::ZERO,
         };
-        self.give(now, on, PendingKind::Probe, order);
+        self.send_order(now, upstream_key, PendingKind::Probe, order);
     }
 
-    /// Takes in what an upstream lists; true when it brought ends.
-    fn take_report(
+    /// Applies an upstream's report; returns whether it lists new ends.
+    fn apply_report(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
         report: RenewReport,
     ) -> bool {
         let lease = self.lease;
-        let upstream = &mut self.upstreams[on];
-        let first = upstream.contact == Contact::Taking;
+        let upstream = &mut self.upstreams[upstream_key];
+        let is_first_report = upstream.contact == Contact::TakingOver;
         if upstream.born_unix_ms.is_some() && report.born_unix_ms != upstream.born_unix_ms {
-            self.begin_incarnation(on, report.born_unix_ms);
+            self.begin_incarnation(upstream_key, report.born_unix_ms);
         }
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         upstream.born_unix_ms = report.born_unix_ms.or(upstream.born_unix_ms);
         upstream.clock = Some(UpstreamClock::new(report.clock_ms, now));
-        if upstream.contact == Contact::Taking {
-            // Leases of before were given on another clock, or by another owner.
+        if upstream.contact == Contact::TakingOver {
+            // Earlier leases were granted on another clock or by another owner. None ends later
+            // than a full lease from now.
             upstream.lease_until_ms = report.clock_ms.saturating_add(whole_ms(lease));
         }
         upstream.has_missed_renew = false;
-        // A hold that waits is answered by the end itself.
-        let is_exact = look.sent_at.since(upstream.reported_at) <= LISTENING_GAP;
-        upstream.reported_at = now;
-        if upstream.contact != Contact::InTouch {
-            tracing::info!(upstream = %upstream.listed.id, "upstream in touch");
-            upstream.contact = Contact::InTouch;
+        // A waiting order is answered as soon as a run ends.
+        let is_exact = answered.sent_at.since(upstream.last_report_at) <= MAX_EXACT_END_GAP;
+        upstream.last_report_at = now;
+        if upstream.contact != Contact::Reachable {
+            tracing::info!(upstream = %upstream.listed.id, "upstream reachable");
+            upstream.contact = Contact::Reachable;
             self.mark_dirty();
         }
-        let (brought_news, found) = self.take_ends(now, on, is_exact, &report.ended);
-        self.take_running(now, on, look, &report.running);
-        self.find_vanished(now, on, look, &report.running);
-        self.announce_unclaimed_runs(now, on, look, first, found);
-        self.drop_if_released(on);
-        brought_news
+        let (has_new_ends, found) = self.apply_ends(now, upstream_key, is_exact, &report.ended);
+        self.apply_running(now, upstream_key, answered, &report.running);
+        self.handle_vanished_runs(now, upstream_key, answered, &report.running);
+        self.announce_unclaimed_runs(now, upstream_key, answered, is_first_report, found);
+        self.drop_if_released(upstream_key);
+        has_new_ends
     }
 
-    /// Takes note of ends; gives those of runs that this instance did not order.
-    fn take_ends(
+    /// Applies the listed ends that are new; returns whether there were any, and the ends of runs that
+    /// this instance did not order.
+    fn apply_ends(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         is_exact: bool,
         ended: &[EndedRow],
     ) -> (bool, Vec<FoundEnd>) {
-        let mut brought_news = false;
+        let mut has_new_ends = false;
         let mut found = Vec::new();
         for row in ended {
-            let upstream = &mut self.upstreams[on];
+            let upstream = &mut self.upstreams[upstream_key];
             if row.number <= upstream.acknowledged_end {
                 continue;
             }
             upstream.acknowledged_end = row.number;
-            brought_news = true;
+            has_new_ends = true;
             let Some(run) = row.run else {
                 continue;
             };
             upstream.unclaimed_runs.swap_remove(&run);
             if upstream.runs.contains_key(&run) {
-                self.end_run(now, on, run, row.how, is_exact);
+                self.end_run(now, upstream_key, run, row.how, is_exact);
             } else {
-                upstream.note_found_end(run, row.how);
+                upstream.record_unclaimed_end(run, row.how);
                 found.push(FoundEnd {
                     run,
                     done: row.how == RunOutcome::Done,
@@ -475,18 +496,18 @@
                 });
             }
         }
-        (brought_news, found)
+        (has_new_ends, found)
     }
 
     fn end_run(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         how: RunOutcome,
         is_exact: bool,
     ) {
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         let Some(leased) = upstream.runs.swap_remove(&run) else {
             return;
         };
@@ -499,7 +520,7 @@
         );
         let end = match how {
             RunOutcome::Done => {
-                // Its queue is looked at again after every end, restored or not.
+                // Every end triggers a pass through the queue, whether or not it restored the upstream.
                 let _ = upstream.health.on_success(now);
                 let work = match is_exact {
                     true => took.div_f64(upstream.speed.slowness()),
@@ -509,40 +530,40 @@
             }
             RunOutcome::Failed => {
                 if leased.task.is_some() {
-                    self.count_failure(now, on);
+                    self.count_failure(now, upstream_key);
                 }
                 RunEnd::Failed { upstream: id }
             }
             RunOutcome::Stopped | RunOutcome::LeaseExpired | RunOutcome::Other => {
-                match leased.foreseen_work {
+                match leased.predicted_work {
                     Some(work) => RunEnd::TooSlow { work, upstream: id },
                     None => RunEnd::Lost { upstream: id },
                 }
             }
         };
         self.mark_dirty();
-        if let Some((key, task)) = leased.task {
+        if let Some((batch_key, task)) = leased.task {
             if how == RunOutcome::Done && is_exact {
-                self.learn_speeds(on, key, task, took);
+                self.learn_speeds(upstream_key, batch_key, task, took);
             }
-            self.report(key, task, end);
+            self.report(batch_key, task, end);
         }
     }
 
-    fn take_running(
+    fn apply_running(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
         running: &[RunningRow],
     ) {
         let mut infeasible = Vec::new();
-        let from = self.next_order();
-        let upstream = &mut self.upstreams[on];
+        let next_order = self.next_order_id();
+        let upstream = &mut self.upstreams[upstream_key];
         for row in running {
             match upstream.runs.get_mut(&row.run) {
                 Some(leased) => {
-                    leased.note_running(now, from, row.percent);
+                    leased.record_progress(now, next_order, row.percent);
                     let deadline = leased.task.and_then(|(batch, _)| self.batches.get(batch));
                     let deadline = deadline.map(|batch| batch.deadline);
                     if let Some(reason) = reason_to_stop(leased, now, deadline) {
@@ -554,131 +575,139 @@
                         .unclaimed_runs
                         .entry(row.run)
                         .or_insert(UnclaimedRun {
-                            seen_before: from,
-                            asked: false,
+                            since_order: next_order,
+                            is_announced: false,
                         });
                 }
             }
         }
-        // A report asked for before a stray was seen may be older than its end.
+        // A report on an order that was sent before the run was first listed may be older than the
+        // run, so its absence there does not mean that the run has ended.
         let is_listed = |run: &RunId| running.iter().any(|row| row.run == *run);
         upstream
             .unclaimed_runs
-            .retain(|run, unclaimed| is_listed(run) || look.order < unclaimed.seen_before);
+            .retain(|run, unclaimed| is_listed(run) || answered.order < unclaimed.since_order);
         for (run, reason) in infeasible {
-            self.stop_infeasible(now, on, run, reason);
+            self.stop_infeasible(now, upstream_key, run, reason);
         }
     }
 
     fn stop_infeasible(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
+        upstream_key: LeasedUpstreamKey,
         run: RunId,
         reason: StopReason,
     ) {
         match reason {
-            StopReason::Stalled => self.count_failure(now, on),
-            StopReason::Crawling | StopReason::TooLong => self.foresee(on, run, reason),
+            StopReason::Stalled => self.count_failure(now, upstream_key),
+            StopReason::Crawling | StopReason::TooLong => {
+                self.predict_work(upstream_key, run, reason);
+            }
             _ => {}
         }
-        self.stop(now, on, run, reason);
+        self.stop(now, upstream_key, run, reason);
     }
 
-    /// Notes what a run that goes too slowly would take, and what that says of its upstream.
-    fn foresee(&mut self, on: LeasedUpstreamKey, run: RunId, reason: StopReason) {
-        let upstream = &mut self.upstreams[on];
+    /// Records the work that a run that is too slow is predicted to take, and learns its upstream's
+    /// speed from it when the run counts as crawling.
+    fn predict_work(&mut self, upstream_key: LeasedUpstreamKey, run: RunId, reason: StopReason) {
+        let upstream = &mut self.upstreams[upstream_key];
         let Some(leased) = upstream.runs.get_mut(&run) else {
             return;
         };
         let predicted = leased.predicted_run_time();
-        leased.foreseen_work = Some(predicted.div_f64(upstream.speed.slowness()));
+        leased.predicted_work = Some(predicted.div_f64(upstream.speed.slowness()));
         if reason == StopReason::Crawling {
             let expected = leased.expected_run_time;
             upstream.speed.observe_crawling(expected, predicted);
         }
     }
 
-    /// Takes in that runs are listed no more without an end.
-    fn find_vanished(
+    /// Handles runs that a report lists neither as running nor as ended, where it answers an order sent
+    /// after their state was known.
+    fn handle_vanished_runs(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
         running: &[RunningRow],
     ) {
         let is_listed = |run: &RunId| running.iter().any(|row| row.run == *run);
-        let upstream = &self.upstreams[on];
+        let upstream = &self.upstreams[upstream_key];
         let missing = upstream.runs.iter().filter(|(run, _)| !is_listed(run));
         let missing: Vec<(RunId, RunPhase)> =
             missing.map(|(run, leased)| (*run, leased.phase)).collect();
         for (run, phase) in missing {
             match phase {
-                RunPhase::Active { from } if look.order >= from => {
-                    self.lose_run(on, run, "vanished");
+                RunPhase::Active { since_order } if answered.order >= since_order => {
+                    self.on_run_lost(upstream_key, run, "vanished");
                 }
-                RunPhase::Uncertain { from } if look.order >= from => {
-                    self.stop(now, on, run, StopReason::Uncertain);
+                RunPhase::Uncertain { since_order } if answered.order >= since_order => {
+                    self.stop(now, upstream_key, run, StopReason::Uncertain);
                 }
                 RunPhase::Stopping {
                     reason,
-                    acknowledged: Some(from),
-                } if look.order >= from => match reason {
-                    StopReason::Uncertain => self.take_back(on, run),
-                    _ => self.lose_run(on, run, "stopped"),
+                    acknowledged: Some(since_order),
+                } if answered.order >= since_order => match reason {
+                    StopReason::Uncertain => self.withdraw_start(upstream_key, run),
+                    _ => self.on_run_lost(upstream_key, run, "stopped"),
                 },
                 _ => {}
             }
         }
     }
 
-    /// Puts a task back whose start never took effect and never will.
-    fn take_back(&mut self, on: LeasedUpstreamKey, run: RunId) {
-        let upstream = &mut self.upstreams[on];
+    /// Reports a task as not started whose start never took effect and never will.
+    fn withdraw_start(&mut self, upstream_key: LeasedUpstreamKey, run: RunId) {
+        let upstream = &mut self.upstreams[upstream_key];
         let id = upstream.listed.id.clone();
         tracing::info!(job = %run.task.job, run = %run, upstream = %id, "start withdrawn");
         if let Some(leased) = upstream.runs.swap_remove(&run) {
-            // The upstream refuses this number from now on.
-            self.end_task(leased.task, NotStarted::OldRun);
+            // The upstream refuses a start with this run number from now on.
+            self.report_unstarted(leased.task, NotStarted::OldRun);
         }
     }
 
-    /// Reports a run that runs no more without having ended.
-    fn lose_run(&mut self, on: LeasedUpstreamKey, run: RunId, why: &str) {
-        let upstream = &mut self.upstreams[on];
+    /// Handles a run that no longer runs and has no known end: reports it as lost.
+    fn on_run_lost(&mut self, upstream_key: LeasedUpstreamKey, run: RunId, why: &str) {
+        let upstream = &mut self.upstreams[upstream_key];
         let Some(leased) = upstream.runs.swap_remove(&run) else {
             return;
         };
         let id = upstream.listed.id.clone();
         tracing::warn!(job = %run.task.job, run = %run, upstream = %id, why, "run lost");
         self.mark_dirty();
-        if let Some((key, task)) = leased.task {
-            self.report(key, task, RunEnd::Lost { upstream: id });
+        if let Some((batch_key, task)) = leased.task {
+            self.report(batch_key, task, RunEnd::Lost { upstream: id });
         }
     }
 
-    /// Reports all runs of an upstream as lost.
-    fn lose_runs(&mut self, on: LeasedUpstreamKey, why: &str) {
-        let runs: Vec<RunId> = self.upstreams[on].runs.keys().copied().collect();
+    /// Handles the loss of all runs of an upstream.
+    fn on_all_runs_lost(&mut self, upstream_key: LeasedUpstreamKey, why: &str) {
+        let runs: Vec<RunId> = self.upstreams[upstream_key].runs.keys().copied().collect();
         for run in runs {
-            self.lose_run(on, run, why);
+            self.on_run_lost(upstream_key, run, why);
         }
     }
 
-    /// Asks homes for runs that this instance did not order, and passes on ends of such runs.
+    /// Announces to all homes the runs that this instance did not order, so that they can claim them,
+    /// and the ends of such runs.
     fn announce_unclaimed_runs(
         &mut self,
         now: Timestamp,
-        on: LeasedUpstreamKey,
-        look: Look,
-        first: bool,
+        upstream_key: LeasedUpstreamKey,
+        answered: AnsweredOrder,
+        is_first_report: bool,
         ended: Vec<FoundEnd>,
     ) {
-        let upstream = &mut self.upstreams[on];
+        let upstream = &mut self.upstreams[upstream_key];
         let mut running = Vec::new();
         for (run, unclaimed) in &mut upstream.unclaimed_runs {
-            if !unclaimed.asked && (first || look.order >= unclaimed.seen_before) {
-                unclaimed.asked = true;
+            if !unclaimed.is_announced
+                && (is_first_report || answered.order >= unclaimed.since_order)
+            {
+                unclaimed.is_announced = true;
                 running.push(*run);
             }
         }
@@ -694,8 +723,8 @@
             tracing::info!(job = %run.task.job, run = %run, upstream = %id, fence, done, failed, "end of another owner's run found");
         }
         if !running.is_empty() {
-            let unclaimed = OwnerTimer::Unclaimed(on);
-            self.timers.subscribe(now + CLAIM_TIME, unclaimed);
+            let claim_timeout = OwnerTimer::ClaimTimeout(upstream_key);
+            self.timers.subscribe(now + CLAIM_TIMEOUT, claim_timeout);
         }
         self.notices.push(OwnerNotice::Found {
             upstream: id,
@@ -705,110 +734,121 @@
         });
     }
 
-    /// Notes that an upstream does not answer, and looks again soon.
-    fn fall_silent(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let Some(upstream) = self.upstreams.get_mut(on) else {
+    /// Marks an upstream that does not answer as unreachable, and schedules the next renew order and
+    /// the expiry of its leases.
+    fn mark_unreachable(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let Some(upstream) = self.upstreams.get_mut(upstream_key) else {
             return;
         };
-        // One that is listed as started again, with runs of before, may be out of reach too.
+        // An upstream that is listed as restarted and still has runs of before may be unreachable too.
         let has_runs = !upstream.runs.is_empty();
-        if upstream.contact == Contact::InTouch || (upstream.contact == Contact::Taking && has_runs)
+        if upstream.contact == Contact::Reachable
+            || (upstream.contact == Contact::TakingOver && has_runs)
         {
             let runs = upstream.runs.len();
-            tracing::warn!(upstream = %upstream.listed.id, runs, "upstream silent");
-            upstream.contact = Contact::Silent { since: now };
+            tracing::warn!(upstream = %upstream.listed.id, runs, "upstream unreachable");
+            upstream.contact = Contact::Unreachable { since: now };
         }
         if !upstream.runs.is_empty()
-            && let Some(at) = upstream.lapses_at()
+            && let Some(at) = upstream.leases_expire_at()
         {
-            self.timers.subscribe(at.max(now), OwnerTimer::Lapse(on));
+            self.timers
+                .subscribe(at.max(now), OwnerTimer::LeaseExpiry(upstream_key));
         }
         let retry = match upstream.runs.is_empty() {
-            true => IDLE_SILENT_RETRY,
-            false => SILENT_RETRY,
+            true => IDLE_UNREACHABLE_RETRY_DELAY,
+            false => UNREACHABLE_RETRY_DELAY,
         };
-        self.timers.subscribe(now + retry, OwnerTimer::Renew(on));
+        self.timers
+            .subscribe(now + retry, OwnerTimer::Renew(upstream_key));
     }
 
-    /// Loses all runs of an upstream that is still silent when its leases have run out.
-    fn lapse(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let Some(upstream) = self.upstreams.get(on) else {
+    /// Reports all runs of an upstream as lost if it is still unreachable and its leases have expired.
+    fn expire_leases(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let Some(upstream) = self.upstreams.get(upstream_key) else {
             return;
         };
-        let is_silent = matches!(upstream.contact, Contact::Silent { .. });
-        match upstream.lapses_at() {
-            Some(at) if is_silent && at <= now => {
-                self.lose_runs(on, "lease_over");
-                self.drop_if_released(on);
+        let is_unreachable = matches!(upstream.contact, Contact::Unreachable { .. });
+        match upstream.leases_expire_at() {
+            Some(at) if is_unreachable && at <= now => {
+                self.on_all_runs_lost(upstream_key, "lease_over");
+                self.drop_if_released(upstream_key);
             }
-            Some(at) if is_silent && !upstream.runs.is_empty() => {
-                self.timers.subscribe(at, OwnerTimer::Lapse(on));
+            Some(at) if is_unreachable && !upstream.runs.is_empty() => {
+                self.timers
+                    .subscribe(at, OwnerTimer::LeaseExpiry(upstream_key));
             }
             _ => {}
         }
     }
 
-    /// Begins anew with an upstream that has started again.
+    /// Resets what is known of an upstream that has restarted.
     ///
-    /// Nothing of before runs there, but a start may have reached the new life: what its next
-    /// list does not name is lost.
-    pub(crate) fn begin_incarnation(&mut self, on: LeasedUpstreamKey, born_unix_ms: Option<u64>) {
-        let upstream = &mut self.upstreams[on];
+    /// Runs of the previous incarnation have ended, but a start in flight may have reached the new one:
+    /// runs that its next report does not list are lost.
+    pub(crate) fn begin_incarnation(
+        &mut self,
+        upstream_key: LeasedUpstreamKey,
+        born_unix_ms: Option<u64>,
+    ) {
+        let upstream = &mut self.upstreams[upstream_key];
         let id = &upstream.listed.id;
-        tracing::warn!(upstream = %id, ?born_unix_ms, "upstream lives another life");
+        tracing::warn!(upstream = %id, ?born_unix_ms, "upstream restarted");
         upstream.born_unix_ms = born_unix_ms;
         upstream.raise_fence();
         upstream.acknowledged_end = 0;
-        upstream.contact = Contact::Taking;
+        upstream.contact = Contact::TakingOver;
         upstream.unclaimed_runs.clear();
-        upstream.found_ends.clear();
+        upstream.unclaimed_ends.clear();
     }
 
-    /// Gives up an upstream at whose address another one lives: it runs nothing any more.
-    fn lose_upstream(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        self.lose_runs(on, "upstream_replaced");
-        self.fall_silent(now, on);
+    /// Handles an upstream at whose address another one answers: all its runs are lost.
+    fn on_upstream_replaced(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        self.on_all_runs_lost(upstream_key, "upstream_replaced");
+        self.mark_unreachable(now, upstream_key);
     }
 
-    /// Takes in that another instance holds an upstream under this fence.
+    /// Relinquishes an upstream that another instance owns under this fence, if it is the higher one.
     pub(crate) fn relinquish_upstream(&mut self, now: Timestamp, id: &str, fence: u64) {
-        let Some(on) = self.by_id.get(id).copied() else {
+        let Some(upstream_key) = self.by_id.get(id).copied() else {
             return;
         };
-        if self.upstreams[on].fence < fence {
-            self.lose_to_newer_owner(now, on);
+        if self.upstreams[upstream_key].fence < fence {
+            self.relinquish_to_newer_owner(now, upstream_key);
         }
     }
 
-    /// Gives an upstream up to the instance that holds it under a higher fence.
-    fn lose_to_newer_owner(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let Some(upstream) = self.remove(on) else {
+    /// Relinquishes an upstream to the instance that owns it under a higher fence: hands its runs over,
+    /// except starts in flight, whose answers tell whether they run.
+    fn relinquish_to_newer_owner(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let Some(upstream) = self.remove(upstream_key) else {
             return;
         };
         let id = upstream.listed.id.clone();
         let (fence, version) = (upstream.fence, upstream.roster_version());
         let runs = upstream.runs.len();
         tracing::warn!(upstream = %id, fence, runs, "upstream has a newer owner");
-        self.lost.insert(id, version);
-        self.lingering.retain(|_, until| *until > now);
+        self.relinquished.insert(id, version);
+        self.possibly_running.retain(|_, until| *until > now);
         let starts = self
             .orders
             .iter()
             .filter_map(|(order, pending)| match pending.kind {
-                PendingKind::Start(run) if pending.upstream == on => Some((run, *order)),
+                PendingKind::Start(run) if pending.upstream == upstream_key => Some((run, *order)),
                 _ => None,
             });
         let starts: IndexMap<RunId, OrderId> = starts.collect();
         for (run, leased) in upstream.runs {
-            if let Some(batch) = leased.dropped_from {
-                self.lingering.insert(batch, now + LINGERING);
+            if let Some(batch) = leased.dropped_batch {
+                self.possibly_running
+                    .insert(batch, now + MAX_RUN_UNDER_NEWER_OWNER);
             }
             let Some(task) = leased.task else {
                 continue;
             };
             let upstream = upstream.listed.id.clone();
             match starts.get(&run) {
-                // Its answer tells whether it started.
+                // The answer will tell whether the run started.
                 Some(order) if leased.phase == RunPhase::Starting => {
                     let superseded = SupersededStart { task, upstream };
                     self.superseded_starts.insert(*order, superseded);
@@ -818,77 +858,84 @@
         }
     }
 
-    fn count_failure(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let upstream = &mut self.upstreams[on];
+    fn count_failure(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let upstream = &mut self.upstreams[upstream_key];
         let service = upstream.listed.service.clone();
         if upstream.health.on_failure(now) == HealthChange::Ejected {
             tracing::warn!(upstream = %upstream.listed.id, "upstream ejected");
             self.review_ejections(now, &service);
         }
-        self.wake_after_health(now, on);
+        self.wake_on_health_change(now, upstream_key);
     }
 
-    fn wake_after_health(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        if let Some(at) = self.upstreams[on].health.next_change(now) {
+    fn wake_on_health_change(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        if let Some(at) = self.upstreams[upstream_key].health.next_change(now) {
             self.timers.subscribe(at, OwnerTimer::Dispatch);
         }
     }
 
-    /// Stops runs that no home has claimed.
-    fn stop_unclaimed(&mut self, now: Timestamp, on: LeasedUpstreamKey) {
-        let Some(upstream) = self.upstreams.get_mut(on) else {
+    /// Stops the announced runs that no home has claimed, until they are no longer listed.
+    fn stop_unclaimed(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey) {
+        let Some(upstream) = self.upstreams.get_mut(upstream_key) else {
             return;
         };
         let due = upstream.unclaimed_runs.iter();
-        let due = due.filter(|(_, unclaimed)| unclaimed.asked);
+        let due = due.filter(|(_, unclaimed)| unclaimed.is_announced);
         let due: Vec<RunId> = due.map(|(run, _)| *run).collect();
         if due.is_empty() {
             return;
         }
         for run in due {
-            self.stop(now, on, run, StopReason::Unclaimed);
+            self.stop(now, upstream_key, run, StopReason::Unclaimed);
         }
-        let again = OwnerTimer::Unclaimed(on);
-        self.timers.subscribe(now + CLAIM_TIME, again);
+        let again = OwnerTimer::ClaimTimeout(upstream_key);
+        self.timers.subscribe(now + CLAIM_TIMEOUT, again);
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub(crate) fn run_timers(&mut self, now: Timestamp) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                OwnerTimer::Renew(on) => self.renew(now, on),
-                OwnerTimer::Lapse(on) => self.lapse(now, on),
-                OwnerTimer::Unclaimed(on) => self.stop_unclaimed(now, on),
-                OwnerTimer::StopAgain(on, run) => self.stop_again(now, on, run),
-                OwnerTimer::Probe(on) => self.probe(now, on),
-                OwnerTimer::Overdue(on, since) => self.check_overdue(now, on, since),
+                OwnerTimer::Renew(key) => self.renew(now, key),
+                OwnerTimer::LeaseExpiry(key) => self.expire_leases(now, key),
+                OwnerTimer::ClaimTimeout(key) => self.stop_unclaimed(now, key),
+                OwnerTimer::StopRetry(key, run) => self.retry_stop(now, key, run),
+                OwnerTimer::Probe(key) => self.probe(now, key),
+                OwnerTimer::EndExpected(key, since) => self.check_missing_end(now, key, since),
                 OwnerTimer::Dispatch => self.mark_dirty(),
             }
         }
     }
 
-    /// Looks at an upstream that has listed nothing since a run began that should be over.
-    fn check_overdue(&mut self, now: Timestamp, on: LeasedUpstreamKey, since: Timestamp) {
-        let upstream = self.upstreams.get(on);
-        if upstream.is_some_and(|on| on.reported_at < since && !on.runs.is_empty()) {
-            self.probe(now, on);
+    /// Polls an upstream that has sent no report since a run started that should have ended by now.
+    fn check_missing_end(
+        &mut self,
+        now: Timestamp,
+        upstream_key: LeasedUpstreamKey,
+        since: Timestamp,
+    ) {
+        let upstream = self.upstreams.get(upstream_key);
+        if upstream
+            .is_some_and(|upstream| upstream.last_report_at < since && !upstream.runs.is_empty())
+        {
+            self.probe(now, upstream_key);
         }
     }
 
-    fn stop_again(&mut self, now: Timestamp, on: LeasedUpstreamKey, run: RunId) {
-        let Some(upstream) = self.upstreams.get(on) else {
+    fn retry_stop(&mut self, now: Timestamp, upstream_key: LeasedUpstreamKey, run: RunId) {
+        let Some(upstream) = self.upstreams.get(upstream_key) else {
             return;
         };
         let Some(leased) = upstream.runs.get(&run) else {
             return;
         };
         if let RunPhase::Stopping { reason, .. } = leased.phase {
-            self.stop(now, on, run, reason);
+            self.stop(now, upstream_key, run, reason);
         }
     }
 }
 
-/// Why a run that is listed should be stopped.
+/// Why a run that is listed as running should be stopped; none when it should go on.
 fn reason_to_stop(
     leased: &LeasedRun,
     now: Timestamp,
