--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams that get lost, or are carried out late.
+//! Orders to upstreams that get lost or are carried out late, and upstreams that fail.
 
 use std::time::Duration;
 
@@ -20,8 +20,8 @@
     site
 }
 
-/// Submits a job every 20 ms in turn at each instance; gives the share that completed in time.
-fn play(site: &mut RunSite, jobs: u32, within_ms: u128) -> f64 {
+/// Submits a job every 20 ms, in turn at each instance; returns the share that completed in time.
+fn served_share(site: &mut RunSite, jobs: u32, within_ms: u128) -> f64 {
     for number in 0..jobs {
         let node = number as usize % site.nodes();
         let id = format!("{number:016x}");
@@ -45,7 +45,7 @@
                 late_percent,
                 unanswered_percent,
             });
-            play(&mut site, 60, 1_500);
+            served_share(&mut site, 60, 1_500);
             site.set_order_fault(OrderFault::default());
             site.run_ms(12_000);
             assert!(
@@ -65,26 +65,26 @@
         late_percent: 5,
         unanswered_percent: 0,
     });
-    // The objective of such a job is 1.6 times 60 ms and 60 ms, and three times that is late.
-    let served = play(&mut site, 300, 468);
+    // The objective of such a job is 1.6 times 60 ms plus 60 ms; three times that counts as late.
+    let served = served_share(&mut site, 300, 468);
     assert!(served > 0.97, "{served}");
 }
 
 #[test]
-fn dark_upstream_loses_its_runs_once_their_leases_are_over() {
+fn unreachable_upstream_loses_its_runs_once_their_leases_are_over() {
     let mut site = started(1);
     site.submit(0, "look", "00000000000000aa", &run_job(24, 6_800, 250));
     site.run_ms(50);
     site.set_upstream_fault(0, Some(UpstreamFault::Dark));
     site.run_ms(3_000);
     let answer = site.answer("00000000000000aa").expect("an answer");
-    // A lease lasts a second; then the tasks run once more, elsewhere.
+    // The leases expire after a second; then the tasks run again elsewhere.
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
 #[test]
-fn upstream_back_under_its_name_starts_anew() {
+fn tasks_of_a_restarted_upstream_are_retried() {
     let mut site = started(1);
     site.submit(0, "look", "00000000000000aa", &run_job(24, 6_800, 300));
     site.run_ms(50);
@@ -96,20 +96,20 @@
 }
 
 #[test]
-fn upstream_that_fails_all_is_left_alone() {
+fn upstream_that_fails_all_tasks_gets_few_starts() {
     let mut site = started(1);
     site.set_upstream_fault(0, Some(UpstreamFault::FailsAll));
-    let served = play(&mut site, 200, 400);
+    let served = served_share(&mut site, 200, 400);
     assert!(served > 0.97, "{served}");
-    // A few failures, and probes that back off.
+    // A few failures eject it; after that only probes with a backoff start there.
     assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
 }
 
 #[test]
-fn upstream_whose_tasks_stand_still_is_left_alone() {
+fn upstream_whose_tasks_stall_gets_few_starts() {
     let mut site = started(1);
     site.set_upstream_fault(0, Some(UpstreamFault::Hangs));
-    let served = play(&mut site, 200, 1_500);
+    let served = served_share(&mut site, 200, 1_500);
     assert!(served > 0.97, "{served}");
     assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
 }
@@ -117,7 +117,7 @@
 #[test]
 fn run_on_an_upstream_that_became_slow_is_retried() {
     let mut site = started(1);
-    // One upstream in six, as on the sites' days.
+    // One upstream in six.
     for upstream in 0..2 {
         site.set_upstream_fault(upstream, Some(UpstreamFault::Slow(6.0)));
     }
@@ -134,15 +134,15 @@
 fn draining_upstream_gets_no_new_work() {
     let mut site = started(1);
     site.drain_upstream(0);
-    // Entries are read every 400 ms; the users allow 2 s.
+    // Entries are read every 400 ms; users accept up to 2 s.
     site.run_ms(1_000);
     let before = site.starts_at(0);
-    play(&mut site, 100, 1_500);
+    served_share(&mut site, 100, 1_500);
     assert_eq!(site.starts_at(0), before);
 }
 
-/// Guards against a lease of an upstream's former life, whose clock was ahead, that keeps a run
-/// which can no longer be reached from starting over.
+/// Guards against counting the lease of an upstream's previous incarnation, whose clock was ahead, for
+/// a run on the current one: the unreachable run would be retried too late.
 #[test]
 fn run_in_the_next_incarnation_of_an_upstream_is_lost_with_its_lease() {
     let mut site = RunSite::start(&SitePlan::new(1, 1, 2));
@@ -159,13 +159,13 @@
     let answer = site.answer("00000000000000ab").expect("an answer");
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     let took = answer.answered_at.since(answer.asked_at).as_millis();
-    // Half a second, a lease of a second, and half a second elsewhere.
+    // At most a run of half a second, a lease of a second, and a run of half a second elsewhere.
     assert!(took < 2_300, "{took} ms");
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against runs of an upstream that is listed as started again, and out of reach since, that
-/// never count as over.
+/// Guards against runs that never count as lost, because their upstream is listed as restarted and has
+/// been unreachable since.
 #[test]
 fn runs_of_an_upstream_lost_with_its_restart_are_retried() {
     let mut site = RunSite::start(&SitePlan::new(2, 1, 2));
--- a/lib/tests/neighbour_bound.rs
+++ b/lib/tests/neighbour_bound.rs
@@ -1,9 +1,9 @@
-//! How many instances an instance exchanges heartbeats with, as their number grows.
+//! The number of heartbeats that an instance sends, as the number of instances grows.
 
 use almondhead_testsupport::run_site::RunSite;
 use almondhead_testsupport::run_site::SitePlan;
 
-/// The messages that one instance sends in a calm second.
+/// The mean number of messages that one instance sends in a second without jobs.
 fn messages_a_second(data_centres: u32, instances: u32) -> u64 {
     let mut site = RunSite::start(&SitePlan::new(data_centres, instances, 2));
     site.run_ms(2_000);
@@ -17,7 +17,7 @@
 fn heartbeats_stay_bounded_as_instances_grow() {
     let small = messages_a_second(2, 4);
     let large = messages_a_second(4, 15);
-    // Seven neighbours of eight instances; twelve chosen and about as many choosing of sixty.
+    // Of 8 instances all 7 others are neighbours; of 60, the 12 chosen and about as many that chose it.
     assert!(small >= 7 * 6, "{small}");
     assert!(large <= 26 * 7, "{large}");
 }
--- a/lib/tests/upstream_owners.rs
+++ b/lib/tests/upstream_owners.rs
@@ -1,4 +1,4 @@
-//! Ownership of upstreams as instances come, go, die, freeze and are cut off.
+//! Ownership of upstreams as instances start, leave, die, freeze and are cut off.
 
 use almondhead_lib::runs::run_answer::GivenUp;
 use almondhead_lib::runs::run_answer::JobEnd;
@@ -28,7 +28,7 @@
     done.count()
 }
 
-/// Submits a job every `gap_ms` in turn at the given instances.
+/// Submits a job every `gap_ms`, in turn at the given instances; jobs are numbered upwards from `from`.
 fn submit(site: &mut RunSite, from: u32, jobs: u32, nodes: &[usize], gap_ms: u64) {
     for number in from..from + jobs {
         let node = nodes[number as usize % nodes.len()];
@@ -42,7 +42,7 @@
 fn upstreams_of_a_dead_instance_are_used_again() {
     let mut site = started(1);
     site.kill(0);
-    // Its heartbeats stop for 2.5 s, and one reading finds its row removed.
+    // Its heartbeats must be missing for 2.5 s, and the next read must find its row removed.
     site.run_ms(4_500);
     assert_eq!(usable(&site), site.upstreams());
 }
@@ -58,9 +58,9 @@
 }
 
 #[test]
-fn runs_survive_their_owner_that_starts_again() {
+fn runs_survive_the_restart_of_their_owner() {
     let mut site = started(1);
-    // Placed by another home on all upstreams, those of the killed owner among them.
+    // Another home places the tasks on all upstreams, including those of the killed owner.
     site.submit(1, "look", "00000000000000aa", &run_job(30, 6_800, 900));
     site.run_ms(100);
     site.kill(0);
@@ -70,7 +70,7 @@
     let answer = site.answer("00000000000000aa").expect("an answer");
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     let took = answer.answered_at.since(answer.asked_at).as_millis();
-    assert!(took < 1_000, "{took} ms: its runs were not saved");
+    assert!(took < 1_000, "{took} ms: its runs were not adopted");
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
@@ -83,7 +83,7 @@
     site.run_ms(2_000);
     let answer = site.answer("00000000000000aa").expect("an answer");
     assert_eq!(answer.answer, RunAnswer::GivenUp(GivenUp::OwnerLost));
-    // A lease of a second, and up to 150 ms until the next heartbeat is missed.
+    // A lease of a second, and up to 150 ms until the next heartbeat is missing.
     let took = answer.answered_at.since(answer.asked_at).as_millis();
     assert!(took < 1_250, "{took} ms");
 }
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn leaving_home_answers_what_it_took() {
+fn leaving_home_answers_the_jobs_it_accepted() {
     let mut site = started(1);
     site.submit(0, "look", "00000000000000aa", &run_job(8, 6_800, 900));
     site.run_ms(50);
@@ -137,7 +137,8 @@
     site.run_ms(100);
     assert_eq!(site.running(), 30);
     site.kill(0);
-    // Out of reach after 600 ms, or their leases over after a second.
+    // Owners count the home as unreachable after 600 ms; leases of its own upstreams expire after a
+    // second.
     site.run_ms(1_150);
     assert_eq!(site.running(), 0);
 }
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn frozen_instance_starts_nothing_stale() {
+fn thawed_instance_starts_no_stale_tasks() {
     for seed in 1..=10 {
         let mut site = started(seed);
         submit(&mut site, 0, 20, &[0, 1, 2, 3, 4, 5], 15);
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn instance_cut_from_its_siblings_goes_on_alone() {
+fn instance_cut_off_from_its_siblings_serves_alone() {
     let mut site = started(1);
     for other in 1..6 {
         site.cut(0, other, true);
@@ -203,13 +204,13 @@
 }
 
 #[test]
-fn instance_cut_from_the_store_serves_through_the_others() {
+fn instance_cut_off_from_the_store_serves_through_its_siblings() {
     let mut site = started(1);
     site.cut_from_store(0, true);
     submit(&mut site, 0, 150, &[0, 1, 2], 40);
     site.run_ms(1_500);
     assert_eq!(completed(&site), 150);
-    // Its siblings hear it, so it stays the owner of its upstreams.
+    // Its siblings can reach it, so it stays the owner of its upstreams.
     assert_eq!(usable(&site), site.upstreams());
     site.cut_from_store(0, false);
     site.run_ms(1_500);
@@ -229,7 +230,7 @@
 }
 
 #[test]
-fn entry_that_lapsed_with_the_store_away_is_kept() {
+fn entry_that_expires_in_a_store_outage_is_kept() {
     let mut site = started(1);
     site.set_store_down(true);
     site.run_ms(4_000);
@@ -243,7 +244,7 @@
 }
 
 #[test]
-fn entry_that_stays_away_after_the_outage_is_gone() {
+fn entry_not_relisted_after_the_outage_is_removed() {
     let mut site = started(1);
     site.set_store_down(true);
     site.run_ms(1_000);
@@ -254,7 +255,7 @@
 }
 
 #[test]
-fn entry_removed_on_a_calm_day_is_gone_at_once() {
+fn entry_removed_without_an_outage_is_gone_at_once() {
     let mut site = started(1);
     site.delist(0);
     site.run_ms(5);
@@ -292,18 +293,18 @@
     assert_eq!(usable(&site), site.upstreams());
     submit(&mut site, 100, 50, &[0, 1, 2, 3, 4, 5], 20);
     site.run_ms(1_000);
-    let late = (100..150u32).filter(|number| {
+    let completed_late = (100..150u32).filter(|number| {
         let answer = site.answer(&format!("{number:016x}"));
         answer.is_some_and(|end| end.answer == RunAnswer::Ended(JobEnd::Completed))
     });
-    assert_eq!(late.count(), 50);
+    assert_eq!(completed_late.count(), 50);
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
 #[test]
-fn start_under_way_to_a_newer_owner_is_placed_again() {
+fn start_superseded_by_a_newer_owner_is_placed_again() {
     let mut site = RunSite::start(&SitePlan::new(1, 3, 6));
-    // The first one has read the roster before the others registered.
+    // The first instance has read the roster before the others registered.
     site.run_ms(20);
     site.submit(0, "look", "00000000000000aa", &run_job(8, 6_800, 60));
     site.run_ms(600);
@@ -313,13 +314,13 @@
 }
 
 #[test]
-fn instance_back_from_a_cut_serves_without_the_store() {
+fn reconnected_instance_serves_without_the_store() {
     let mut site = started(1);
     site.cut_from_store(0, true);
     for other in 1..6 {
         site.cut(0, other, true);
     }
-    // The others have removed it meanwhile.
+    // Meanwhile the others have removed it from the roster.
     site.run_ms(5_000);
     for other in 1..6 {
         site.cut(0, other, false);
