--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::held_batch::LEAST_RUN;
+use super::held_batch::MIN_RUN_TIME_SHARE;
 use super::home::NewJob;
 use super::home::RETRY_AFTER_OVERLOAD;
 use super::home::longest_chain;
@@ -83,7 +83,7 @@
         }
         let is_impossible = spec.steps.iter().any(|step| {
             let label = step.required_label.as_deref();
-            !self.listing.could_run(service, step.demand, label)
+            !self.listing.can_ever_run(service, step.demand, label)
         });
         is_impossible.then(|| not_run(NotRun::NeedsNoUpstreamHas, None))
     }
@@ -105,7 +105,7 @@
         for _ in 0..step.tasks {
             let placement_request = PlacementRequest {
                 expected_run_time: *run,
-                is_run_known: false,
+                is_run_time_known: false,
                 objective_left: wait,
                 deadline_left: wait,
             };
@@ -121,7 +121,7 @@
         }
     }
     let chain = longest_chain(spec, expected);
-    if longest_wait + chain.mul_f64(LEAST_RUN) > wait {
+    if longest_wait + chain.mul_f64(MIN_RUN_TIME_SHARE) > wait {
         let retry_after = longest_wait.max(MIN_RETRY_AFTER);
         return Err(not_run(NotRun::Overloaded, Some(retry_after)));
     }
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -100,7 +100,7 @@
             has_capacity: true,
         });
     }
-    if task.is_run_known {
+    if task.is_run_time_known {
         // Only a free upstream that is fast enough helps. The task keeps waiting at its home.
         return None;
     }
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -289,7 +289,7 @@
     fn forget_upstreams(&mut self, gone: &[Arc<str>]) {
         for id in gone {
             tracing::info!(upstream = %id, "upstream gone");
-            self.owner.forget(id);
+            self.owner.release_unlisted(id);
         }
     }
 
@@ -624,7 +624,7 @@
         let owner = OwnerRef::Peer(peer);
         self.record_digest(peer, report.digest);
         self.owner
-            .keep_only(self.now, home, &report.open, report.highest_sent);
+            .drop_closed_batches(self.now, home, &report.open, report.highest_sent);
         self.home
             .reconcile_batches(self.now, owner, &report.held, report.highest_taken);
     }
@@ -733,7 +733,7 @@
             .map(|(key, peer)| (key, peer.incarnation))
             .collect();
         for (peer, incarnation) in peers {
-            let (held, highest_taken) = self.owner.held_of(self.now, incarnation);
+            let (held, highest_taken) = self.owner.held_batches_of(self.now, incarnation);
             let open = self.home.open_batches_at(OwnerRef::Peer(peer));
             let state = &self.peers.peers[peer];
             let is_neighbour =
