--- a/entry/src/claim_queue.rs
+++ b/entry/src/claim_queue.rs
@@ -70,7 +70,7 @@
             incarnation: Incarnation(incarnation),
         };
         let claim = row.claim;
-        Some(ClaimEnd::Theirs { home, claim })
+        Some(ClaimEnd::AlreadyClaimed { home, claim })
     }
 }
 
@@ -177,8 +177,8 @@
 
     async fn report(&self, request: &ClaimRequest, end: ClaimEnd) {
         self.metrics.count_claim(match end {
-            ClaimEnd::Ours => "ours",
-            ClaimEnd::Theirs { .. } => "theirs",
+            ClaimEnd::Acquired => "ours",
+            ClaimEnd::AlreadyClaimed { .. } => "theirs",
             ClaimEnd::Unclaimed | ClaimEnd::Unavailable => "unavailable",
         });
         let claim = request.claim;
@@ -188,7 +188,7 @@
 
 fn claim_end(result: InsertResult) -> ClaimEnd {
     match result {
-        InsertResult::Inserted => ClaimEnd::Ours,
+        InsertResult::Inserted => ClaimEnd::Acquired,
         InsertResult::Present(row) => row_end(&row.value),
     }
 }
--- a/lib/src/claiming.rs
+++ b/lib/src/claiming.rs
@@ -86,11 +86,11 @@
             return;
         }
         match end {
-            ClaimEnd::Ours => {
+            ClaimEnd::Acquired => {
                 job.stage = JobStage::Open;
                 self.enqueue(key);
             }
-            ClaimEnd::Theirs { home, claim } => self.claimed_before(key, &home, claim),
+            ClaimEnd::AlreadyClaimed { home, claim } => self.claimed_before(key, &home, claim),
             ClaimEnd::Unclaimed | ClaimEnd::Unavailable => {
                 self.end_job(
                     key,
@@ -184,10 +184,12 @@
         end: ClaimEnd,
     ) {
         match end {
-            ClaimEnd::Theirs { home, .. } if home.incarnation != self.config.incarnation => {
+            ClaimEnd::AlreadyClaimed { home, .. }
+                if home.incarnation != self.config.incarnation =>
+            {
                 self.forward(waiter, home.instance, home.incarnation, address, request);
             }
-            ClaimEnd::Theirs { .. } | ClaimEnd::Ours => {
+            ClaimEnd::AlreadyClaimed { .. } | ClaimEnd::Acquired => {
                 self.answer_failed(waiter, FailReason::AnswerExpired, None);
             }
             ClaimEnd::Unclaimed => self.answer_not_run(waiter, NotRunReason::NotSubmitted, None),
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -110,9 +110,9 @@
 #[value]
 pub enum ClaimEnd {
     /// The key is ours; the job may start.
-    Ours,
+    Acquired,
     /// The key was claimed before, by the incarnation that is the job's home.
-    Theirs {
+    AlreadyClaimed {
         /// The home, which may be this incarnation.
         home: PeerIdentity,
         /// The home's number of the claim that took effect.
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -377,8 +377,8 @@
         }
         let answer = match (end, row) {
             (TableEnd::ApplyAndLose | TableEnd::Unavailable, _) => ClaimEnd::Unavailable,
-            (TableEnd::Answer, Some((home, claim))) => ClaimEnd::Theirs { home, claim },
-            (TableEnd::Answer, None) if open.writes => ClaimEnd::Ours,
+            (TableEnd::Answer, Some((home, claim))) => ClaimEnd::AlreadyClaimed { home, claim },
+            (TableEnd::Answer, None) if open.writes => ClaimEnd::Acquired,
             (TableEnd::Answer, None) => ClaimEnd::Unclaimed,
         };
         if self.dispatchers[open.instance].incarnation() == open.incarnation {
