--- a/entry/src/upstream_client.rs
+++ b/entry/src/upstream_client.rs
@@ -85,9 +85,9 @@
         if now >= attempt.start_before {
             return AttemptEnd::NotStarted(NotStartedCause::PastDeadline);
         }
-        let timeout = attempt.give_up_at.since(now);
+        let timeout = attempt.timeout_at.since(now);
         let request = with_timeout(request, timeout);
-        let deadline = self.clock.instant(attempt.give_up_at);
+        let deadline = self.clock.instant(attempt.timeout_at);
         let end = match client.send_before(request, deadline).await {
             Ok(response) => response_end(&response, &attempt.task.to_string()),
             Err(error) => error_end(&error),
--- a/lib/src/action.rs
+++ b/lib/src/action.rs
@@ -75,7 +75,7 @@
     /// The last point at which the task may start.
     pub start_before: Timestamp,
     /// The point at which the attempt is given up.
-    pub give_up_at: Timestamp,
+    pub timeout_at: Timestamp,
     /// The W3C `traceparent` to pass on.
     pub traceparent: Option<Arc<str>>,
 }
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -121,7 +121,7 @@
             task: task.id,
             input: task.input.clone(),
             start_before: job.deadline,
-            give_up_at: job.deadline,
+            timeout_at: job.deadline,
             traceparent: job.traceparent.clone(),
         }));
         let running = RunningAttempt {
