--- a/lib/src/action.rs
+++ b/lib/src/action.rs
@@ -1,4 +1,4 @@
-//! What comes out of the dispatcher.
+//! The actions that the dispatcher requests.
 
 use std::sync::Arc;
 
@@ -12,22 +12,22 @@
 use crate::target::UpstreamTarget;
 use crate::time::Timestamp;
 
-/// Something to do, in the order of the list that holds it.
+/// An action to perform, in the order of the list that holds it.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Answer a caller's request, whole, and forget it.
+    /// Send the complete answer to a caller's request, which is closed by it.
     Answer {
         /// The request.
         request: RequestId,
         /// The answer.
         answer: Arc<JobAnswer>,
     },
-    /// Start a task at an upstream, after reading the clock again.
+    /// Start a task at an upstream, after another reading of the clock.
     ///
     /// An attempt whose `start_before` has passed ends as
-    /// [`crate::outcome::NotStartedCause::PastDeadline`] without a byte sent.
+    /// [`crate::outcome::NotStartedCause::PastDeadline`] and sends nothing.
     StartAttempt(Attempt),
-    /// Ask the upstream to stop these tasks; each attempt still ends by an event of its own.
+    /// Ask an upstream to stop tasks; the end of each attempt is still reported by its own event.
     StopTasks {
         /// The upstream that runs them.
         target: Arc<UpstreamTarget>,
@@ -36,16 +36,16 @@
     },
     /// Claim an idempotency key in the platform's table for this incarnation.
     Claim {
-        /// The number under which the end is reported.
+        /// The number under which the result is reported.
         claim: u64,
         /// The team that the key belongs to.
         team: Arc<str>,
         /// The key.
         key: Arc<str>,
     },
-    /// Read from the platform's table who claimed an idempotency key.
+    /// Read from the platform's table which incarnation claimed an idempotency key.
     FindHome {
-        /// The number under which the end is reported as a claim's.
+        /// The number under which the result is reported, as for a claim.
         claim: u64,
         /// The team that the key belongs to.
         team: Arc<str>,
@@ -61,21 +61,21 @@
     },
 }
 
-/// One start of one task at one upstream.
+/// An attempt to start a task at an upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The number under which the end is reported.
     pub attempt: AttemptId,
-    /// Where it runs.
+    /// The upstream that runs it.
     pub target: Arc<UpstreamTarget>,
-    /// The task's identity.
+    /// The identifier of the task.
     pub task: TaskId,
     /// The task's input.
     pub input: Bytes,
-    /// The last point at which the task may start.
+    /// The time after which the task must not be started.
     pub start_before: Timestamp,
-    /// The point at which the attempt is given up.
+    /// The time at which the attempt times out.
     pub timeout_at: Timestamp,
-    /// The W3C `traceparent` to pass on.
+    /// The W3C `traceparent` to propagate.
     pub traceparent: Option<Arc<str>>,
 }
--- a/lib/src/authenticator.rs
+++ b/lib/src/authenticator.rs
@@ -1,4 +1,4 @@
-//! Keyed authentication of bytes, HMAC-SHA256 under the firm's shared key.
+//! Authentication of bytes by HMAC-SHA256 under the shared key.
 
 use std::fmt;
 
@@ -9,12 +9,12 @@
 /// The length of a tag in bytes.
 pub(crate) const TAG_BYTES: usize = 32;
 
-/// What a tag is for; a tag made for one purpose never verifies for another.
+/// The purpose of a tag; a tag for one purpose never verifies for another.
 #[derive(Clone, Copy)]
 pub(crate) enum Purpose {
-    /// The identity of a session.
+    /// A session token.
     SessionToken,
-    /// A message between entry instances.
+    /// The envelope of a message between entry instances.
     PeerEnvelope,
 }
 
@@ -27,14 +27,14 @@
     }
 }
 
-/// Makes and verifies tags for one purpose.
+/// Computes and verifies tags for one purpose.
 #[derive(Clone)]
 pub(crate) struct Authenticator {
     keyed: Hmac<Sha256>,
 }
 
 impl Authenticator {
-    /// An authenticator under `key`, of any length.
+    /// Creates an authenticator with a `key` of any length.
     pub(crate) fn new(key: &[u8], purpose: Purpose) -> Self {
         let mut keyed =
             <Hmac<Sha256> as Mac>::new_from_slice(key).expect("HMAC takes a key of any length");
--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -1,4 +1,4 @@
-//! Handing waiting tasks to siblings with room, and running those that siblings hand over.
+//! Batches of tasks: forwarding waiting tasks to siblings and running those of siblings here.
 
 use std::sync::Arc;
 
@@ -28,12 +28,12 @@
 use crate::submission::Submission;
 
 impl Dispatcher {
-    /// Hands tasks that wait in a service's queue to siblings, as its policy says.
+    /// Forwards tasks waiting in a service's queue to siblings, split by its overflow policy.
     pub(crate) fn forward_overflow(&mut self, service_key: ServiceKey) {
         if !self.forwards_overflow() {
             return;
         }
-        let Some(service) = self.plan.services.get(service_key) else {
+        let Some(service) = self.site.services.get(service_key) else {
             return;
         };
         if service.queued_tasks == 0 {
@@ -44,7 +44,7 @@
             return;
         }
         let demand = self.overflow_demand(service_key);
-        let service = &mut self.plan.services[service_key];
+        let service = &mut self.site.services[service_key];
         for share in service.overflow.split(&demand, &capacities) {
             self.forward_share(service_key, share.sibling, share.tasks);
         }
@@ -52,8 +52,8 @@
 
     fn sibling_capacities(&self, service: &str) -> Vec<SiblingCapacity> {
         let siblings = self.siblings.iter();
-        let willing = siblings.filter(|(_, sibling)| sibling.takes_work(self.now));
-        let capacities = willing.filter_map(|(key, sibling)| {
+        let accepting = siblings.filter(|(_, sibling)| sibling.can_accept_work(self.now));
+        let capacities = accepting.filter_map(|(key, sibling)| {
             let load = sibling.load(service)?;
             Some(SiblingCapacity {
                 sibling: key,
@@ -69,7 +69,7 @@
 
     fn overflow_demand(&self, service_key: ServiceKey) -> OverflowDemand {
         let load = self.service_load(service_key);
-        let service = &self.plan.services[service_key];
+        let service = &self.site.services[service_key];
         let longest = u64::from(service.settings.max_deadline_ms);
         OverflowDemand {
             waiting_tasks: service.queued_tasks,
@@ -89,7 +89,7 @@
                 let origin = jobs.get(key).map(|job| &job.origin);
                 matches!(origin, Some(JobOrigin::Callers { .. }))
             };
-            let service = &mut self.plan.services[service_key];
+            let service = &mut self.site.services[service_key];
             let Some(job) = service.queue.next(self.now, &mut { from_callers }) else {
                 return;
             };
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Hands up to `most` waiting tasks of a job to a sibling; gives how many.
-    fn forward_tasks(&mut self, key: JobKey, sibling: SiblingKey, most: u32) -> u32 {
+    /// Forwards up to `max_tasks` waiting tasks of a job to a sibling and returns how many were sent.
+    fn forward_tasks(&mut self, key: JobKey, sibling: SiblingKey, max_tasks: u32) -> u32 {
         let Some(state) = self.siblings.get_mut(sibling) else {
             return 0;
         };
@@ -113,7 +113,7 @@
         let instance = state.listed.name.clone();
         let mut tasks = Vec::new();
         let mut open = IndexMap::new();
-        while (tasks.len() as u64) < u64::from(most) {
+        while (tasks.len() as u64) < u64::from(max_tasks) {
             let Some(index) = self.take_waiting(key) else {
                 break;
             };
@@ -149,11 +149,11 @@
         tasks: Vec<BatchTask>,
     ) -> TaskBatch {
         let job = &self.jobs[key];
-        let team = self.plan.teams.get(job.team);
+        let team = self.site.teams.get(job.team);
         TaskBatch {
             batch,
             receiver,
-            service: self.plan.services[job.service].name.clone(),
+            service: self.site.services[job.service].name.clone(),
             team: Arc::from(team.map_or("", |team| team.settings.name.as_str())),
             time_left: job.deadline.since(self.now),
             needs: job.needs,
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Takes tasks that a sibling hands over, or refuses them whole.
-    pub(crate) fn take_batch(
+    /// Accepts a batch of tasks from a sibling, or refuses the whole batch.
+    pub(crate) fn handle_batch(
         &mut self,
         sender: &PeerIdentity,
         sibling: SiblingKey,
@@ -190,7 +190,7 @@
             id: task.task,
             input: task.input,
             state: TaskState::Waiting,
-            refused_attempts: 0,
+            not_started_attempts: 0,
         });
         let submission = Submission {
             service: batch.service,
@@ -209,9 +209,9 @@
         }
     }
 
-    /// Whether a batch would start within about one task's run time.
+    /// Whether all tasks of a batch would start within about the run time of one task.
     fn has_capacity_for(&self, batch: &TaskBatch) -> bool {
-        let Some(service) = self.plan.service(&batch.service) else {
+        let Some(service) = self.site.service(&batch.service) else {
             return false;
         };
         let load = self.service_load(service);
@@ -225,7 +225,7 @@
         self.send_peer(sender.instance.clone(), message);
     }
 
-    /// Tells a batch's home how its tasks ended, and forgets it.
+    /// Reports to a batch's home how its tasks ended, and removes the batch's job.
     pub(crate) fn answer_batch(&mut self, key: JobKey) {
         let JobOrigin::Batch {
             instance,
@@ -246,15 +246,15 @@
         self.send_peer(instance, message);
     }
 
-    /// Takes a sibling's answer to a batch.
-    pub(crate) fn take_batch_answer(
+    /// Handles a sibling's report on the tasks of a batch.
+    pub(crate) fn handle_batch_answer(
         &mut self,
         sibling: SiblingKey,
         batch: BatchId,
         ends: Vec<TaskEnd>,
         digest: LoadDigest,
     ) {
-        self.take_digest(sibling, digest);
+        self.handle_digest(sibling, digest);
         for end in ends {
             let Some(sent) = self.sent_batches.get_mut(sibling, batch) else {
                 return;
@@ -266,11 +266,11 @@
             if sent.open.is_empty() {
                 self.sent_batches.remove(sibling, batch);
             }
-            self.end_forwarded(job, index, end.end);
+            self.end_forwarded_task(job, index, end.end);
         }
     }
 
-    fn end_forwarded(&mut self, job: JobKey, index: u32, end: AttemptEnd) {
+    fn end_forwarded_task(&mut self, job: JobKey, index: u32, end: AttemptEnd) {
         let open = self.jobs.get(job);
         let open = open.is_some_and(|job| job.stage == JobStage::Open);
         if open {
@@ -278,8 +278,8 @@
         }
     }
 
-    /// Takes back the tasks of a batch of which nothing ran.
-    pub(crate) fn take_batch_back(&mut self, sibling: SiblingKey, batch: BatchId) {
+    /// Requeues the tasks of a batch that the sibling did not start.
+    pub(crate) fn requeue_batch(&mut self, sibling: SiblingKey, batch: BatchId) {
         let Some(sent) = self.sent_batches.remove(sibling, batch) else {
             return;
         };
@@ -289,22 +289,24 @@
         let indexes: Vec<u32> = sent.open.values().copied().collect();
         for index in indexes.into_iter().rev() {
             let cause = NotStartedCause::Refused;
-            self.end_forwarded(sent.job, index, AttemptEnd::NotStarted(cause));
+            self.end_forwarded_task(sent.job, index, AttemptEnd::NotStarted(cause));
         }
     }
 
-    /// Ends the batches at a sibling whose incarnation is gone.
-    pub(crate) fn lose_batches(&mut self, sibling: SiblingKey) {
+    /// Ends the open tasks of all batches at a sibling whose incarnation has ended.
+    ///
+    /// Their outcome is unknown.
+    pub(crate) fn fail_batches_of(&mut self, sibling: SiblingKey) {
         for sent in self.sent_batches.remove_all_of(sibling) {
             let indexes: Vec<u32> = sent.open.values().copied().collect();
             for index in indexes {
                 let end = AttemptEnd::Unknown(UnknownCause::SiblingLost);
-                self.end_forwarded(sent.job, index, end);
+                self.end_forwarded_task(sent.job, index, end);
             }
         }
     }
 
-    /// Stops the open tasks of batches that their home gave up.
+    /// Stops and removes batches that their home has cancelled.
     pub(crate) fn cancel_batches(&mut self, sender: &PeerIdentity, batches: &[BatchId]) {
         let jobs = self.jobs.iter();
         let cancelled: Vec<JobKey> = jobs
@@ -316,12 +318,14 @@
         }
     }
 
-    /// Whether a message that was never sent held tasks, which then go back in the queue.
-    pub(crate) fn peer_not_sent(&mut self, instance: &str, message: PeerMessage) {
+    /// Handles a message of which no byte was sent.
+    ///
+    /// The tasks of a batch are requeued; the waiter of a forwarded request is answered.
+    pub(crate) fn on_peer_not_sent(&mut self, instance: &str, message: PeerMessage) {
         match message {
             PeerMessage::TaskBatch(batch) => {
                 if let Some(sibling) = self.siblings.by_name(instance) {
-                    self.take_batch_back(sibling, batch.batch);
+                    self.requeue_batch(sibling, batch.batch);
                 }
             }
             PeerMessage::ForwardRequest { correlation, .. } => {
--- a/lib/src/claiming.rs
+++ b/lib/src/claiming.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: which incarnation is the home of the job under a key.
+//! Idempotency keys: claiming a key for this incarnation, and finding the home of a key's job.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use crate::job::JobOrigin;
 use crate::job::JobStage;
 use crate::job::Waiter;
-use crate::key_table::KeyName;
+use crate::key_table::IdempotencyKey;
 use crate::key_table::KeyState;
 use crate::keys::JobKey;
 use crate::outcome::FailReason;
@@ -19,10 +19,10 @@
 use crate::peer_message::ForwardedRequest;
 use crate::pending_claim::PendingClaim;
 use crate::submission::Submission;
-use crate::submitting::RETRY_SOON;
+use crate::submitting::DEFAULT_RETRY_AFTER;
 
 impl Dispatcher {
-    /// Asks the platform's table to make this incarnation the home of the key's job.
+    /// Starts a claim of the job's key in the platform's table, for this incarnation as home.
     pub(crate) fn claim(&mut self, job: JobKey, address: &JobAddress) {
         let JobAddress::Key { team, key } = address else {
             return;
@@ -36,7 +36,7 @@
         });
     }
 
-    /// Asks the platform's table who the home of the key's job is.
+    /// Starts a read of the platform's table to find the home of the key's job.
     pub(crate) fn find_home(
         &mut self,
         waiter: Waiter,
@@ -65,15 +65,15 @@
         claim
     }
 
-    /// Takes the table's answer.
-    pub(crate) fn end_claim(&mut self, claim: u64, end: ClaimEnd) {
+    /// Handles the table's answer to a claim or a read.
+    pub(crate) fn on_claim_ended(&mut self, claim: u64, end: ClaimEnd) {
         match self.claims.swap_remove(&claim) {
             Some(PendingClaim::Job(job)) => self.end_job_claim(job, end),
             Some(PendingClaim::FindHome {
                 waiter,
                 address,
                 request,
-            }) => self.home_found(waiter, &address, request, end),
+            }) => self.on_home_found(waiter, &address, request, end),
             None => {}
         }
     }
@@ -90,28 +90,28 @@
                 job.stage = JobStage::Open;
                 self.enqueue(key);
             }
-            ClaimEnd::AlreadyClaimed { home, claim } => self.claimed_before(key, &home, claim),
+            ClaimEnd::AlreadyClaimed { home, claim } => self.on_already_claimed(key, &home, claim),
             ClaimEnd::Unclaimed | ClaimEnd::Unavailable => {
                 self.end_job(
                     key,
                     JobAnswer::NotRun {
                         reason: NotRunReason::ClaimUnavailable,
-                        retry_after: Some(RETRY_SOON),
+                        retry_after: Some(DEFAULT_RETRY_AFTER),
                     },
                 );
             }
         }
     }
 
-    fn claimed_before(&mut self, key: JobKey, home: &PeerIdentity, claim: u64) {
+    fn on_already_claimed(&mut self, key: JobKey, home: &PeerIdentity, claim: u64) {
         if home.incarnation == self.config.incarnation {
-            self.claimed_here(key, claim);
+            self.on_claimed_here(key, claim);
         } else {
-            self.claimed_elsewhere(key, home);
+            self.on_claimed_elsewhere(key, home);
         }
     }
 
-    fn claimed_elsewhere(&mut self, key: JobKey, home: &PeerIdentity) {
+    fn on_claimed_elsewhere(&mut self, key: JobKey, home: &PeerIdentity) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
@@ -130,9 +130,10 @@
         }
     }
 
-    /// The row carries an earlier claim of this incarnation; the job may run only when nothing
-    /// ran under the key since that claim.
-    fn claimed_here(&mut self, key: JobKey, claim: u64) {
+    /// Handles a row that holds an earlier claim of this incarnation.
+    ///
+    /// The job may run only when nothing has run under the key since that claim.
+    fn on_claimed_here(&mut self, key: JobKey, claim: u64) {
         let job = &mut self.jobs[key];
         if job.first_claim.is_some_and(|first| claim >= first) {
             job.stage = JobStage::Open;
@@ -148,8 +149,8 @@
 
     fn submission_of(&self, key: JobKey) -> Submission {
         let job = &self.jobs[key];
-        let service = &self.plan.services[job.service];
-        let team = self.plan.teams.get(job.team);
+        let service = &self.site.services[job.service];
+        let team = self.site.teams.get(job.team);
         let team = team.map_or("", |team| team.settings.name.as_str());
         Submission {
             service: service.name.clone(),
@@ -163,20 +164,20 @@
         }
     }
 
-    /// Sets what is known of the key that a job is addressed by.
+    /// Records the state of the key that addresses a job; other addresses are ignored.
     pub(crate) fn set_key_state(&mut self, address: &JobAddress, state: KeyState) {
         let JobAddress::Key { team, key } = address else {
             return;
         };
-        let name = KeyName {
+        let name = IdempotencyKey {
             team: team.clone(),
             key: key.clone(),
         };
-        let expires_at = self.now + self.keep_answers();
-        self.keys.set(name, state, expires_at);
+        let expires_at = self.now + self.answer_retention();
+        self.idempotency_keys.set(name, state, expires_at);
     }
 
-    fn home_found(
+    fn on_home_found(
         &mut self,
         waiter: Waiter,
         address: &JobAddress,
@@ -194,7 +195,7 @@
             }
             ClaimEnd::Unclaimed => self.answer_not_run(waiter, NotRunReason::NotSubmitted, None),
             ClaimEnd::Unavailable => {
-                let retry_after = Some(RETRY_SOON);
+                let retry_after = Some(DEFAULT_RETRY_AFTER);
                 self.answer_failed(waiter, FailReason::HomeUnreachable, retry_after);
             }
         }
--- a/lib/src/dispatcher.rs
+++ b/lib/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher: every decision of one entry instance.
+//! The dispatcher, a deterministic state machine that makes every decision of one entry instance.
 
 use std::sync::Arc;
 
@@ -24,40 +24,40 @@
 use crate::peer_message::LoadDigest;
 use crate::peer_message::PeerMessage;
 use crate::pending_claim::PendingClaim;
-use crate::plan::Plan;
 use crate::running_attempt::RunningAttempt;
 use crate::sent_batch::SentBatches;
 use crate::session::SessionTable;
 use crate::sibling_table::SiblingTable;
+use crate::site_state::SiteState;
 use crate::time::Timestamp;
 use crate::timer::TimerService;
 use crate::upstream_state::CLOCK_MARGIN_MS;
 
-/// The fixed facts of one entry process.
+/// The configuration of a dispatcher, fixed for the lifetime of its process.
 #[derive(Clone, Debug)]
 pub struct DispatcherConfig {
     /// The instance's name.
     pub instance: Arc<str>,
     /// The name of its data centre.
     pub data_centre: Arc<str>,
-    /// This run of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// The seed of the generator behind random choices.
+    /// The seed of the generator of random choices.
     pub seed: u64,
-    /// The bounds on what it keeps.
+    /// The limits on its state.
     pub limits: DispatcherLimits,
 }
 
-/// Bounds on the state of one dispatcher.
+/// Limits on the state of one dispatcher.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatcherLimits {
-    /// The most jobs that are open or kept for their answers.
+    /// The maximum number of jobs that are open or whose answers are kept.
     pub jobs: usize,
-    /// The most sessions.
+    /// The maximum number of sessions.
     pub sessions: usize,
-    /// The most job numbers of one session that are remembered.
+    /// The number of most recent job numbers that are remembered per session.
     pub session_window: u64,
-    /// How long answers of ended jobs are kept, in milliseconds.
+    /// How long the answers of ended jobs are kept, in milliseconds.
     pub keep_answers_ms: u64,
 }
 
@@ -72,22 +72,24 @@
     }
 }
 
-/// What the dispatcher's parts subscribe to at its timer service.
+/// What is due when a timer of the dispatcher fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// A job's deadline.
+    /// A job's deadline has passed.
     Deadline(JobKey),
-    /// The end of the time for which a job's answer is kept.
-    Forget(JobKey),
-    /// Upstreams of a service may take tasks again.
+    /// The answer of an ended job is no longer kept.
+    AnswerExpiry(JobKey),
+    /// Upstreams of a service may accept tasks again.
     Dispatch(ServiceKey),
-    /// A request forwarded to its home is overdue.
-    Forward(u64),
-    /// The next digest to siblings.
+    /// A request that was forwarded to a job's home may have been lost.
+    ForwardCheck(u64),
+    /// The next digest to siblings is due.
     Digest,
 }
 
-/// Decides what one entry instance does: same events, same actions.
+/// The state of one entry instance, from which it turns events into actions.
+///
+/// It is deterministic: the same events at the same times lead to the same actions.
 #[derive(Debug)]
 pub struct Dispatcher {
     pub(crate) config: DispatcherConfig,
@@ -96,13 +98,13 @@
     pub(crate) unix_read_at: Timestamp,
     pub(crate) actions: Vec<Action>,
     pub(crate) leaving: bool,
-    pub(crate) plan: Plan,
+    pub(crate) site: SiteState,
     pub(crate) jobs: SlotMap<JobKey, Job>,
     pub(crate) open_jobs: usize,
     pub(crate) next_job: u64,
     pub(crate) requests: IndexMap<RequestId, JobKey>,
     pub(crate) sessions: SessionTable,
-    pub(crate) keys: KeyTable,
+    pub(crate) idempotency_keys: KeyTable,
     pub(crate) claims: IndexMap<u64, PendingClaim>,
     pub(crate) next_claim: u64,
     pub(crate) attempts: IndexMap<AttemptId, RunningAttempt>,
@@ -114,12 +116,12 @@
     pub(crate) last_digest: LoadDigest,
     pub(crate) last_digest_at: Timestamp,
     pub(crate) timers: TimerService<Timer>,
-    pub(crate) dirty: Vec<ServiceKey>,
+    pub(crate) dirty_services: Vec<ServiceKey>,
     pub(crate) counts: MessageCounts,
 }
 
 impl Dispatcher {
-    /// A dispatcher that holds no document yet and refuses every job.
+    /// Creates a dispatcher without a document, which refuses every job.
     pub fn new(config: DispatcherConfig) -> Self {
         let limits = config.limits;
         let first_number = config.incarnation.first_number();
@@ -130,13 +132,13 @@
             unix_read_at: Timestamp::ZERO,
             actions: Vec::new(),
             leaving: false,
-            plan: Plan::default(),
+            site: SiteState::default(),
             jobs: SlotMap::with_key(),
             open_jobs: 0,
             next_job: 1,
             requests: IndexMap::new(),
             sessions: SessionTable::new(limits.sessions, limits.session_window),
-            keys: KeyTable::new(limits.jobs),
+            idempotency_keys: KeyTable::new(limits.jobs),
             claims: IndexMap::new(),
             next_claim: 1,
             attempts: IndexMap::new(),
@@ -148,28 +150,28 @@
             last_digest: LoadDigest::default(),
             last_digest_at: Timestamp::ZERO,
             timers: TimerService::default(),
-            dirty: Vec::new(),
+            dirty_services: Vec::new(),
             counts: MessageCounts::default(),
         }
     }
 
-    /// This run of the process.
+    /// The incarnation of the process.
     pub fn incarnation(&self) -> Incarnation {
         self.config.incarnation
     }
 
-    /// Takes one event and appends what is to be done to `actions`.
+    /// Handles one event and appends the actions to perform to `actions`.
     ///
-    /// `now` must not be earlier than at the call before.
+    /// `now` must not be earlier than in the previous call.
     pub fn handle(&mut self, now: Timestamp, event: Event, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         self.run_timers();
-        self.take(event);
+        self.handle_event(event);
         self.dispatch_dirty();
         actions.append(&mut self.actions);
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Submitted {
                 request,
@@ -183,17 +185,17 @@
                 self.cancel(Waiter::Request(request), &address);
             }
             Event::RequestDropped { request } => self.drop_request(request),
-            Event::AttemptEnded { attempt, end } => self.end_attempt(attempt, end),
-            Event::ClaimEnded { claim, end } => self.end_claim(claim, end),
-            Event::PeerMessage { sender, message } => self.take_peer_message(&sender, message),
-            Event::PeerNotSent { instance, message } => self.peer_not_sent(&instance, message),
-            Event::WallClockRead { unix_ms } => self.read_wall_clock(unix_ms),
+            Event::AttemptEnded { attempt, end } => self.on_attempt_ended(attempt, end),
+            Event::ClaimEnded { claim, end } => self.on_claim_ended(claim, end),
+            Event::PeerMessage { sender, message } => self.handle_peer_message(&sender, message),
+            Event::PeerNotSent { instance, message } => self.on_peer_not_sent(&instance, message),
+            Event::WallClockRead { unix_ms } => self.set_wall_clock(unix_ms),
             Event::DocumentInstalled {
                 revision,
                 document,
                 text,
             } => self.install(revision, document, text),
-            Event::MembershipChanged(membership) => self.change_membership(membership),
+            Event::MembershipChanged(membership) => self.apply_membership(membership),
             Event::StopRequested => self.stop(),
             Event::Tick => {}
         }
@@ -202,30 +204,31 @@
     fn run_timers(&mut self) {
         while let Some(timer) = self.timers.pop_due(self.now) {
             match timer {
-                Timer::Deadline(job) => self.pass_deadline(job),
-                Timer::Forget(job) => self.forget_job(job),
+                Timer::Deadline(job) => self.on_deadline_passed(job),
+                Timer::AnswerExpiry(job) => self.expire_answer(job),
                 Timer::Dispatch(service) => self.mark_dirty(service),
-                Timer::Forward(correlation) => self.overdue_forward(correlation),
-                Timer::Digest => self.digest_due(),
+                Timer::ForwardCheck(correlation) => self.check_forward(correlation),
+                Timer::Digest => self.on_digest_timer(),
             }
         }
     }
 
-    /// When [`Event::Tick`] is due next.
+    /// The time at which [`Event::Tick`] is due next; `None` when no timer is set.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.timers.next_at()
     }
 
-    /// Opens a session whose jobs belong to this incarnation.
+    /// Opens a session whose jobs have this incarnation as their home.
     ///
     /// # Errors
     ///
-    /// Why no session can be opened here now; nothing ran.
+    /// [`NotRunReason::Leaving`] when the instance is stopping, and [`NotRunReason::NoDocument`]
+    /// when no document is installed.
     pub fn open_session(&mut self, now: Timestamp) -> Result<SessionId, NotRunReason> {
         if self.leaving {
             return Err(NotRunReason::Leaving);
         }
-        if !self.plan.is_installed() {
+        if !self.site.has_document() {
             return Err(NotRunReason::NoDocument);
         }
         Ok(SessionId {
@@ -235,23 +238,23 @@
         })
     }
 
-    /// Whether nothing is open: no request, no attempt, no batch.
+    /// Whether no job is open, no attempt is running and no forwarded request is unanswered.
     pub fn is_idle(&self) -> bool {
         self.open_jobs == 0 && self.attempts.is_empty() && self.forwards.is_empty()
     }
 
-    /// A reading of the counters and of the state, for metrics and pages.
+    /// A snapshot of counters and state, for metrics and status pages.
     pub fn status(&self) -> DispatcherStatus {
         let unix_ms = self.unix_now_ms();
-        let upstreams = self.plan.upstreams.values();
+        let upstreams = self.site.upstreams.values();
         let used = upstreams.filter(|upstream| upstream.is_in_use(unix_ms));
         DispatcherStatus {
-            revision: self.plan.revision,
+            revision: self.site.revision,
             leaving: self.leaving,
             open_jobs: self.open_jobs,
             kept_jobs: self.jobs.len(),
             sessions: self.sessions.len(),
-            queued_tasks: self.plan.services.values().map(|s| s.queued_tasks).sum(),
+            queued_tasks: self.site.services.values().map(|s| s.queued_tasks).sum(),
             running_attempts: self.attempts.len(),
             upstreams_in_use: used.clone().count(),
             ejected_upstreams: used
@@ -267,43 +270,45 @@
         }
     }
 
-    /// The wall clock now, from its last reading.
+    /// The current Unix time in milliseconds, extrapolated from the last reading of the wall clock.
     pub(crate) fn unix_now_ms(&self) -> u64 {
         let since = self.now.since(self.unix_read_at).as_millis();
         self.unix_ms
             .saturating_add(u64::try_from(since).unwrap_or(u64::MAX))
     }
 
-    /// Sends a message to a sibling and counts it.
+    /// Queues a message to a sibling and counts it.
     pub(crate) fn send_peer(&mut self, instance: Arc<str>, message: PeerMessage) {
         self.counts.count_sent(&message);
         self.actions.push(Action::SendPeer { instance, message });
     }
 
-    /// Marks a service for another look at its queue after this event.
+    /// Marks a service whose queue has to be dispatched again after this event.
     pub(crate) fn mark_dirty(&mut self, service: ServiceKey) {
-        if !self.dirty.contains(&service) {
-            self.dirty.push(service);
+        if !self.dirty_services.contains(&service) {
+            self.dirty_services.push(service);
         }
     }
 
-    fn read_wall_clock(&mut self, unix_ms: u64) {
+    fn set_wall_clock(&mut self, unix_ms: u64) {
         self.unix_ms = unix_ms;
         self.unix_read_at = self.now;
-        if !self.leaving && self.leaves_by_document() {
+        if !self.leaving && self.has_reached_leave_time() {
             self.stop();
         }
     }
 
-    /// Whether the time has come at which the document lets this instance leave, which is final.
-    fn leaves_by_document(&self) -> bool {
-        let by_then = self.unix_ms.saturating_add(CLOCK_MARGIN_MS);
-        let instances = &self.plan.document.instances;
+    /// Whether the time has come at which this instance leaves according to the document.
+    ///
+    /// Leaving is final: a later document does not bring the instance back.
+    fn has_reached_leave_time(&self) -> bool {
+        let with_margin_ms = self.unix_ms.saturating_add(CLOCK_MARGIN_MS);
+        let instances = &self.site.document.instances;
         let own = instances
             .iter()
             .filter(|i| *i.name == *self.config.instance);
         own.filter_map(|instance| instance.leaves_at_unix_ms)
-            .any(|leaves_at_unix_ms| leaves_at_unix_ms <= by_then)
+            .any(|leaves_at_unix_ms| leaves_at_unix_ms <= with_margin_ms)
     }
 
     fn stop(&mut self) {
@@ -313,31 +318,31 @@
     }
 }
 
-/// A reading of a dispatcher's counters and state.
+/// A snapshot of a dispatcher's counters and state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DispatcherStatus {
-    /// The revision of the installed document, zero when none.
+    /// The revision of the installed document; zero when there is none.
     pub revision: u64,
-    /// Whether the instance was asked to stop.
+    /// Whether the instance is stopping.
     pub leaving: bool,
-    /// Jobs that are open.
+    /// Jobs without an answer yet.
     pub open_jobs: usize,
-    /// Jobs that are open or kept for their answers.
+    /// Jobs that are open or whose answers are kept.
     pub kept_jobs: usize,
-    /// Sessions held.
+    /// Open sessions.
     pub sessions: usize,
-    /// Tasks that wait for a slot.
+    /// Tasks waiting for a slot.
     pub queued_tasks: u32,
-    /// Attempts that run.
+    /// Attempts in flight to upstreams.
     pub running_attempts: usize,
     /// Upstreams to which this entry instance sends tasks.
     pub upstreams_in_use: usize,
-    /// Upstreams of these that are taken out of use for failing.
+    /// Those of them that are ejected because they fail.
     pub ejected_upstreams: usize,
-    /// Sibling entry instances known.
+    /// Known sibling entry instances.
     pub siblings: usize,
-    /// Siblings of these that spoke lately.
+    /// Those of them that sent a message recently.
     pub reachable_siblings: usize,
-    /// Messages sent and received, by kind.
+    /// Numbers of messages by kind.
     pub messages: MessageCounts,
 }
--- a/lib/src/ending.rs
+++ b/lib/src/ending.rs
@@ -1,4 +1,4 @@
-//! Ending jobs: answers, cancellation, deadlines, and what is kept afterwards.
+//! The end of jobs: answers, cancellation, deadlines, and the answers that are kept.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::job::JobStage;
 use crate::job::TaskState;
 use crate::job::Waiter;
-use crate::key_table::KeyName;
+use crate::key_table::IdempotencyKey;
 use crate::key_table::KeyState;
 use crate::keys::JobKey;
 use crate::keys::SiblingKey;
@@ -27,15 +27,15 @@
 use crate::peer_message::ForwardedRequest;
 use crate::peer_message::PeerMessage;
 use crate::session::NumberState;
-use crate::submitting::RETRY_SOON;
+use crate::submitting::DEFAULT_RETRY_AFTER;
 
 impl Dispatcher {
-    /// How long answers are kept for callers that ask again.
-    pub(crate) fn keep_answers(&self) -> Duration {
+    /// How long answers are kept for callers that resubmit or look up the job.
+    pub(crate) fn answer_retention(&self) -> Duration {
         Duration::from_millis(self.config.limits.keep_answers_ms)
     }
 
-    /// Ends a job all of whose tasks ended.
+    /// Ends a job whose tasks have all ended.
     pub(crate) fn complete_job(&mut self, key: JobKey) {
         let job = &mut self.jobs[key];
         if matches!(job.origin, JobOrigin::Batch { .. }) {
@@ -45,8 +45,8 @@
         self.end_job(key, JobAnswer::Complete { results });
     }
 
-    /// Ends a job that has tasks left: not run when nothing started, else failed.
-    pub(crate) fn end_unfinished(
+    /// Ends a job with open tasks: as not run when nothing was started, otherwise as failed.
+    pub(crate) fn end_unfinished_job(
         &mut self,
         key: JobKey,
         not_run: NotRunReason,
@@ -68,7 +68,7 @@
         self.end_job(key, answer);
     }
 
-    /// Gives a job its answer, tells everyone who waits, and withdraws what is left of it.
+    /// Ends a job: withdraws its open tasks, sends its waiters the answer and keeps the answer.
     pub(crate) fn end_job(&mut self, key: JobKey, answer: JobAnswer) {
         if matches!(self.jobs[key].origin, JobOrigin::Batch { .. }) {
             return self.remove_job(key);
@@ -106,18 +106,18 @@
             }
             JobAnswer::NotRun { reason, .. } => {
                 let cancelled = *reason == NotRunReason::Cancelled;
-                self.free_address(address, cancelled, unresolved);
+                self.release_address(address, cancelled, unresolved);
                 self.jobs.remove(key);
             }
             JobAnswer::Complete { .. } | JobAnswer::Failed { .. } => {
-                let forget_at = self.now + self.keep_answers();
-                self.timers.subscribe(forget_at, Timer::Forget(key));
+                let forget_at = self.now + self.answer_retention();
+                self.timers.subscribe(forget_at, Timer::AnswerExpiry(key));
             }
         }
     }
 
-    /// Lets an address run a job again after one of which nothing ran.
-    fn free_address(&mut self, address: &JobAddress, cancelled: bool, unresolved: Option<u64>) {
+    /// Makes an address usable for another job after one that was not run.
+    fn release_address(&mut self, address: &JobAddress, cancelled: bool, unresolved: Option<u64>) {
         if let JobAddress::Session { session, number } = address {
             let state = if cancelled {
                 NumberState::Cancelled
@@ -128,12 +128,12 @@
         }
         let state = match unresolved {
             Some(first_claim) => KeyState::Unresolved { first_claim },
-            None => KeyState::OwnedNotRun,
+            None => KeyState::ClaimedNotRun,
         };
         self.set_key_state(address, state);
     }
 
-    /// Takes a job out of the queue, stops what runs of it and gives back its quota.
+    /// Removes a job from the queue, stops its tasks in flight and returns its quota.
     fn withdraw(&mut self, key: JobKey) {
         let job = &self.jobs[key];
         let (service_key, team_key) = (job.service, job.team);
@@ -142,13 +142,13 @@
         let from_callers = matches!(job.origin, JobOrigin::Callers { .. });
         self.timers.cancel(job.deadline_timer);
         self.stop_tasks(key);
-        let service = &mut self.plan.services[service_key];
+        let service = &mut self.site.services[service_key];
         service.queue.remove(key);
         if is_queued {
             service.queued_tasks -= u32::try_from(waiting).unwrap_or(u32::MAX);
         }
         self.jobs[key].waiting.clear();
-        if from_callers && let Some(team) = self.plan.teams.get_mut(team_key) {
+        if from_callers && let Some(team) = self.site.teams.get_mut(team_key) {
             team.quota.on_task_ended(open_tasks);
         }
     }
@@ -171,7 +171,7 @@
             batches.entry(sibling).or_default().push(batch);
         }
         for (upstream, tasks) in upstreams {
-            let target = self.plan.upstreams[upstream].target.clone();
+            let target = self.site.upstreams[upstream].target.clone();
             self.counts.cancels += 1;
             self.actions.push(Action::StopTasks { target, tasks });
         }
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Removes a job that needs no answer here.
+    /// Removes a job without answering it.
     pub(crate) fn remove_job(&mut self, key: JobKey) {
         if self
             .jobs
@@ -197,8 +197,8 @@
         self.jobs.remove(key);
     }
 
-    /// Drops the kept answer of an ended job.
-    pub(crate) fn forget_job(&mut self, key: JobKey) {
+    /// Drops the kept answer of an ended job whose retention time is over.
+    pub(crate) fn expire_answer(&mut self, key: JobKey) {
         let Some(job) = self.jobs.remove(key) else {
             return;
         };
@@ -212,8 +212,8 @@
         self.set_key_state(&address, KeyState::Unknown);
     }
 
-    /// Ends a job whose deadline passed.
-    pub(crate) fn pass_deadline(&mut self, key: JobKey) {
+    /// Ends a job that is still open at its deadline.
+    pub(crate) fn on_deadline_passed(&mut self, key: JobKey) {
         let Some(job) = self.jobs.get(key) else {
             return;
         };
@@ -226,10 +226,10 @@
             NotRunReason::DeadlinePassed
         };
         let reason = FailReason::DeadlinePassed;
-        self.end_unfinished(key, not_run, reason, Some(RETRY_SOON));
+        self.end_unfinished_job(key, not_run, reason, Some(DEFAULT_RETRY_AFTER));
     }
 
-    /// Cancels a job at its home, or hands the request to it.
+    /// Cancels a job if this is its home, otherwise forwards the request there.
     pub(crate) fn cancel(&mut self, waiter: Waiter, address: &JobAddress) {
         let Some(key) = self.find_job(&waiter, address, ForwardedRequest::Cancel) else {
             return;
@@ -238,17 +238,19 @@
         if self.jobs[key].stage == JobStage::Ended {
             return;
         }
-        self.end_unfinished(key, NotRunReason::Cancelled, FailReason::Cancelled, None);
+        self.end_unfinished_job(key, NotRunReason::Cancelled, FailReason::Cancelled, None);
     }
 
-    /// Gives the answer of a job at its home, or hands the request to it.
+    /// Answers with a job's result if this is its home, otherwise forwards the request there.
     pub(crate) fn look_up(&mut self, waiter: Waiter, address: &JobAddress) {
         if let Some(key) = self.find_job(&waiter, address, ForwardedRequest::LookUp) {
             self.join(waiter, key, None);
         }
     }
 
-    /// The job of this address when this is its home; else answers or forwards the request.
+    /// The job with this address if it is known here.
+    ///
+    /// Otherwise answers the waiter or forwards the request to the home, and returns `None`.
     fn find_job(
         &mut self,
         waiter: &Waiter,
@@ -267,19 +269,19 @@
                     return None;
                 }
                 let state = self.sessions.state(self.now, session.number, *number);
-                self.job_of_number(waiter, address, state, &request)
+                self.job_by_number(waiter, address, state, &request)
             }
             JobAddress::Key { team, key } => {
-                let name = KeyName {
+                let name = IdempotencyKey {
                     team: team.clone(),
                     key: key.clone(),
                 };
-                self.job_of_key(waiter, address, &name, request)
+                self.job_by_key(waiter, address, &name, request)
             }
         }
     }
 
-    fn job_of_number(
+    fn job_by_number(
         &mut self,
         waiter: &Waiter,
         address: &JobAddress,
@@ -307,16 +309,16 @@
         None
     }
 
-    fn job_of_key(
+    fn job_by_key(
         &mut self,
         waiter: &Waiter,
         address: &JobAddress,
-        name: &KeyName,
+        name: &IdempotencyKey,
         request: ForwardedRequest,
     ) -> Option<JobKey> {
-        match self.keys.state(name) {
+        match self.idempotency_keys.state(name) {
             KeyState::Job(key) => return Some(key),
-            KeyState::OwnedNotRun => {
+            KeyState::ClaimedNotRun => {
                 self.answer_not_run(waiter.clone(), NotRunReason::NotSubmitted, None);
             }
             KeyState::Unknown | KeyState::Unresolved { .. } => {
@@ -330,7 +332,9 @@
         None
     }
 
-    /// Forgets a caller that went away; its job goes on when it can be asked for again.
+    /// Removes a caller whose connection closed.
+    ///
+    /// The job is cancelled if it was the only waiter and no later request can address the job.
     pub(crate) fn drop_request(&mut self, request: RequestId) {
         let waiter = Waiter::Request(request);
         let Some(key) = self.requests.swap_remove(&request) else {
@@ -345,7 +349,7 @@
         };
         waiters.retain(|other| *other != waiter);
         if *address == JobAddress::Single && waiters.is_empty() {
-            self.end_unfinished(key, NotRunReason::Cancelled, FailReason::Cancelled, None);
+            self.end_unfinished_job(key, NotRunReason::Cancelled, FailReason::Cancelled, None);
         }
     }
 }
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -1,4 +1,4 @@
-//! What comes into the dispatcher.
+//! The events that the dispatcher handles.
 
 use std::sync::Arc;
 
@@ -15,19 +15,19 @@
 use crate::peer_message::PeerMessage;
 use crate::submission::Submission;
 
-/// Something that happened, handed to [`crate::dispatcher::Dispatcher::handle`].
+/// An input of [`crate::dispatcher::Dispatcher::handle`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A caller submitted a job, or submitted it again, to this entry instance.
+    /// A caller submitted or resubmitted a job to this entry instance.
     Submitted {
         /// The request to answer.
         request: RequestId,
-        /// The name under which the caller addresses the job.
+        /// The address of the job.
         address: JobAddress,
         /// The job.
         submission: Arc<Submission>,
     },
-    /// A caller asked for the answer of a job submitted before.
+    /// A caller asked for the answer of a job that was submitted before.
     LookedUp {
         /// The request to answer.
         request: RequestId,
@@ -41,26 +41,26 @@
         /// The job's address.
         address: JobAddress,
     },
-    /// A caller's connection closed before its answer.
+    /// A caller's connection closed before its request was answered.
     RequestDropped {
-        /// The request that needs no answer any more.
+        /// The request, which needs no answer any more.
         request: RequestId,
     },
     /// An attempt ended.
     AttemptEnded {
         /// The attempt.
         attempt: AttemptId,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// The platform's table answered a claim.
+    /// The platform's table answered a claim or a read of a claim, or failed to.
     ClaimEnded {
         /// The claim's number.
         claim: u64,
-        /// How.
+        /// The answer.
         end: ClaimEnd,
     },
-    /// A message of another entry instance came in, already authenticated.
+    /// An authenticated message from another entry instance arrived.
     PeerMessage {
         /// Who sent it.
         sender: PeerIdentity,
@@ -69,12 +69,12 @@
     },
     /// A message of [`crate::action::Action::SendPeer`] was dropped before a byte of it was sent.
     PeerNotSent {
-        /// The instance that it was for.
+        /// The instance to which it was addressed.
         instance: Arc<str>,
         /// The message.
         message: PeerMessage,
     },
-    /// The wall clock was read, for times that the document names.
+    /// The wall clock was read; the document gives times of leaving as Unix times.
     WallClockRead {
         /// Milliseconds since the Unix epoch.
         unix_ms: u64,
@@ -85,41 +85,41 @@
         revision: u64,
         /// The document.
         document: Arc<Document>,
-        /// Its text as submitted, to pass on to siblings.
+        /// Its text as submitted, which siblings may request.
         text: Bytes,
     },
-    /// What is known of live and leaving instances changed.
+    /// The list of live and leaving instances changed.
     MembershipChanged(Membership),
-    /// This process was asked to stop: finish what runs, take no new jobs.
+    /// The process was asked to stop: it finishes its open jobs and accepts no new ones.
     StopRequested,
-    /// A time that [`crate::dispatcher::Dispatcher::next_wakeup`] named has come.
+    /// The time returned by [`crate::dispatcher::Dispatcher::next_wakeup`] has come.
     Tick,
 }
 
-/// Who sent a peer message.
+/// An incarnation of an entry instance, as the sender of a message or the home of a job.
 #[value]
 #[derive(Hash)]
 pub struct PeerIdentity {
     /// The instance's name.
     pub instance: Arc<str>,
-    /// The incarnation that sent the message.
+    /// The incarnation.
     pub incarnation: Incarnation,
 }
 
-/// How a claim of an idempotency key ended.
+/// The result of a claim or a read of an idempotency key.
 #[value]
 pub enum ClaimEnd {
-    /// The key is ours; the job may start.
+    /// The key is claimed for this incarnation; the job may start.
     Acquired,
-    /// The key was claimed before, by the incarnation that is the job's home.
+    /// The key was claimed before by the incarnation that is the job's home.
     AlreadyClaimed {
         /// The home, which may be this incarnation.
         home: PeerIdentity,
-        /// The home's number of the claim that took effect.
+        /// The number that the home gave the claim that took effect.
         claim: u64,
     },
-    /// Nobody claimed the key; only [`crate::action::Action::FindHome`] ends so.
+    /// The key is not claimed; only the result of [`crate::action::Action::FindHome`].
     Unclaimed,
-    /// The table could not be reached, and the key is not known to be ours.
+    /// The table could not be reached; whether the key is claimed is unknown.
     Unavailable,
 }
--- a/lib/src/forward_table.rs
+++ b/lib/src/forward_table.rs
@@ -1,4 +1,4 @@
-//! The requests that were handed to the homes of their jobs.
+//! The requests that were forwarded to the homes of their jobs.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::job::Waiter;
 use crate::time::Timestamp;
 
-/// One request at a home.
+/// A request that was forwarded to a home and is not answered yet.
 #[derive(Debug)]
 pub(crate) struct Forward {
     pub(crate) waiter: Waiter,
@@ -17,7 +17,7 @@
     pub(crate) sent_at: Timestamp,
 }
 
-/// All requests that homes have not answered, by their number.
+/// All forwarded requests that are not answered yet, by correlation number.
 #[derive(Debug)]
 pub(crate) struct ForwardTable {
     last_correlation: u64,
@@ -25,7 +25,7 @@
 }
 
 impl ForwardTable {
-    /// An empty table whose numbers follow `first_number`.
+    /// Creates an empty table whose numbers follow `first_number`.
     pub(crate) fn new(first_number: u64) -> Self {
         ForwardTable {
             last_correlation: first_number,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Keeps a forward and gives its number.
+    /// Inserts a forwarded request and returns its correlation number.
     pub(crate) fn insert(&mut self, forward: Forward) -> u64 {
         self.last_correlation += 1;
         self.forwards.insert(self.last_correlation, forward);
@@ -48,7 +48,7 @@
         self.forwards.swap_remove(&correlation)
     }
 
-    /// Removes the forward whose answer this request waits for.
+    /// Removes the forwarded request of this waiter; returns whether there was one.
     pub(crate) fn remove_waiter(&mut self, waiter: &Waiter) -> bool {
         let found = self.forwards.iter().find(|(_, f)| f.waiter == *waiter);
         let Some(correlation) = found.map(|(correlation, _)| *correlation) else {
@@ -57,12 +57,12 @@
         self.forwards.swap_remove(&correlation).is_some()
     }
 
-    /// Removes the forwards to an instance whose home is not `alive`.
-    pub(crate) fn remove_gone(&mut self, instance: &str, alive: Incarnation) -> Vec<Forward> {
-        let gone = |f: &Forward| &*f.instance == instance && f.home != alive;
+    /// Removes the requests forwarded to incarnations of an instance other than `current`.
+    pub(crate) fn remove_stale(&mut self, instance: &str, current: Incarnation) -> Vec<Forward> {
+        let is_stale = |f: &Forward| &*f.instance == instance && f.home != current;
         let forwards = self.forwards.iter();
         let numbers: Vec<u64> = forwards
-            .filter(|(_, f)| gone(f))
+            .filter(|(_, f)| is_stale(f))
             .map(|(number, _)| *number)
             .collect();
         numbers
--- a/lib/src/forwarding.rs
+++ b/lib/src/forwarding.rs
@@ -1,4 +1,5 @@
-//! Handing callers' requests to the homes of their jobs, and answering those of siblings.
+//! Requests about jobs whose home is another instance: forwarding callers' requests and answering
+//! those that siblings forward.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +16,16 @@
 use crate::outcome::JobAnswer;
 use crate::peer_message::ForwardedRequest;
 use crate::peer_message::PeerMessage;
-use crate::submitting::RETRY_SOON;
+use crate::submitting::DEFAULT_RETRY_AFTER;
 
-/// How often a home that has not answered a forwarded request is checked.
-const FORWARD_CHECK: Duration = Duration::from_millis(500);
+/// How often the contact with a home is checked while a forwarded request is unanswered.
+const FORWARD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a home may be silent before its callers are told that it cannot be reached.
+/// How long no message may arrive from a home before it is reported to callers as unreachable.
 const HOME_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Hands a request to its job's home, or answers at once that the home is gone or unknown.
+    /// Forwards a request to its job's home, or fails it if the home has ended or is unknown.
     pub(crate) fn forward(
         &mut self,
         waiter: Waiter,
@@ -38,7 +39,7 @@
             return self.answer_failed(waiter, FailReason::HomeGone, None);
         }
         if matches!(waiter, Waiter::Sibling { .. }) || self.siblings.by_name(&instance).is_none() {
-            let retry_after = Some(RETRY_SOON);
+            let retry_after = Some(DEFAULT_RETRY_AFTER);
             return self.answer_failed(waiter, FailReason::HomeUnreachable, retry_after);
         }
         let forward = Forward {
@@ -48,8 +49,9 @@
             sent_at: self.now,
         };
         let correlation = self.forwards.insert(forward);
-        let check_at = self.now + FORWARD_CHECK;
-        self.timers.subscribe(check_at, Timer::Forward(correlation));
+        let check_at = self.now + FORWARD_CHECK_INTERVAL;
+        self.timers
+            .subscribe(check_at, Timer::ForwardCheck(correlation));
         let message = PeerMessage::ForwardRequest {
             correlation,
             home,
@@ -59,43 +61,46 @@
         self.send_peer(instance, message);
     }
 
-    /// Checks that the home of an unanswered request still speaks.
-    pub(crate) fn overdue_forward(&mut self, correlation: u64) {
+    /// Checks that messages still arrive from the home of an unanswered request.
+    ///
+    /// Asks the home for its document, which any reachable instance answers.
+    pub(crate) fn check_forward(&mut self, correlation: u64) {
         let Some(forward) = self.forwards.get(correlation) else {
             return;
         };
         let instance = forward.instance.clone();
         let sibling = self.siblings.by_name(&instance);
         let last_contact_at = sibling.and_then(|key| self.siblings.get(key)?.last_contact_at);
-        let last_sign = last_contact_at.unwrap_or_default().max(forward.sent_at);
-        if self.now.since(last_sign) >= HOME_TIMEOUT {
+        let waiting_since = last_contact_at.unwrap_or_default().max(forward.sent_at);
+        if self.now.since(waiting_since) >= HOME_TIMEOUT {
             self.fail_forward(correlation, FailReason::HomeUnreachable);
             return;
         }
-        let check_at = self.now + FORWARD_CHECK;
-        self.timers.subscribe(check_at, Timer::Forward(correlation));
-        let have_revision = self.plan.revision;
+        let check_at = self.now + FORWARD_CHECK_INTERVAL;
+        self.timers
+            .subscribe(check_at, Timer::ForwardCheck(correlation));
+        let have_revision = self.site.revision;
         self.send_peer(instance, PeerMessage::DocumentRequest { have_revision });
     }
 
-    /// Answers the caller of a forwarded request that its home gives no answer.
+    /// Answers the waiter of a forwarded request with a failure in place of the home's answer.
     pub(crate) fn fail_forward(&mut self, correlation: u64, reason: FailReason) {
         let Some(forward) = self.forwards.remove(correlation) else {
             return;
         };
-        let retry_after = (reason == FailReason::HomeUnreachable).then_some(RETRY_SOON);
+        let retry_after = (reason == FailReason::HomeUnreachable).then_some(DEFAULT_RETRY_AFTER);
         self.answer_failed(forward.waiter, reason, retry_after);
     }
 
-    /// Fails the forwards to earlier incarnations of a sibling that restarted.
-    pub(crate) fn fail_forwards_of(&mut self, instance: &str, alive: Incarnation) {
-        for forward in self.forwards.remove_gone(instance, alive) {
+    /// Fails the requests forwarded to earlier incarnations of a sibling that restarted.
+    pub(crate) fn fail_forwards_of(&mut self, instance: &str, current: Incarnation) {
+        for forward in self.forwards.remove_stale(instance, current) {
             self.answer_failed(forward.waiter, FailReason::HomeGone, None);
         }
     }
 
-    /// Takes a request that a sibling forwarded.
-    pub(crate) fn take_forward(
+    /// Handles a request that a sibling forwarded.
+    pub(crate) fn handle_forward(
         &mut self,
         sender: &PeerIdentity,
         sibling: SiblingKey,
@@ -124,14 +129,14 @@
         }
     }
 
-    /// Passes a home's answer on to the caller.
-    pub(crate) fn take_forward_answer(&mut self, correlation: u64, answer: JobAnswer) {
+    /// Passes a home's answer on to the waiter.
+    pub(crate) fn handle_forward_answer(&mut self, correlation: u64, answer: JobAnswer) {
         if let Some(forward) = self.forwards.remove(correlation) {
             self.answer(forward.waiter, Arc::new(answer));
         }
     }
 
-    /// Answers a request that a sibling forwarded.
+    /// Sends the answer to a request that a sibling forwarded.
     pub(crate) fn answer_sibling(
         &mut self,
         instance: Arc<str>,
--- a/lib/src/id.rs
+++ b/lib/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers that name instances, sessions, jobs and tasks.
+//! Identifiers of incarnations, requests, sessions, jobs and tasks.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,14 +7,15 @@
 use almondhead_macros::value;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One run of one entry process, drawn at random when it starts.
+/// One run of an entry process, identified by a random number that it draws when it starts.
 #[key]
 pub struct Incarnation(pub u64);
 
 impl Incarnation {
-    /// Where the numbers start by which answers are matched to what this run asked.
+    /// The number after which this incarnation numbers its requests and batches.
     ///
-    /// Far apart for different runs, so that a late answer to an earlier run matches nothing.
+    /// These numbers are far apart for different incarnations, so a late answer to an earlier
+    /// incarnation matches no request of this one.
     pub fn first_number(self) -> u64 {
         xxh3_64(&self.0.to_le_bytes()) >> 1
     }
@@ -26,28 +27,30 @@
     }
 }
 
-/// One HTTP request of a caller, numbered by the entry process that took it.
+/// An HTTP request of a caller, numbered by the entry process that received it.
 #[key]
 pub struct RequestId(pub u64);
 
-/// One start of one task at one upstream, numbered by the entry process that starts it.
+/// An attempt to start a task at an upstream, numbered by the entry process that makes it.
 #[key]
 pub struct AttemptId(pub u64);
 
-/// One batch of tasks sent to a sibling, numbered per sender and receiver, from one.
+/// A batch of tasks sent to a sibling, numbered per sender and receiver.
+///
+/// The numbers start after [`Incarnation::first_number`] of the sender.
 #[key]
 pub struct BatchId(pub u64);
 
-/// The identity of a task, unique over the site: the home's incarnation, its job and the index.
+/// The identifier of a task, unique in the site: the home's incarnation, its job and the index.
 ///
-/// Upstreams get it with each attempt and record their starts under it.
+/// Each attempt carries it, and upstreams record the starts of tasks under it.
 #[key]
 pub struct TaskId {
-    /// The incarnation to which the job belongs.
+    /// The incarnation that is the job's home.
     pub home: Incarnation,
     /// The number that the home gave the job.
     pub job: u64,
-    /// The task's place in the job, from zero.
+    /// The index of the task in the job, from zero.
     pub index: u32,
 }
 
@@ -57,11 +60,11 @@
     }
 }
 
-/// A session: a caller's numbered jobs, which belong to one incarnation for ever.
+/// A session of a caller, whose numbered jobs all have the same incarnation as home.
 #[value]
 #[derive(Hash)]
 pub struct SessionId {
-    /// The incarnation that opened the session and is home to its jobs.
+    /// The incarnation that opened the session and is the home of its jobs.
     pub home: Incarnation,
     /// The name of the home instance.
     pub instance: Arc<str>,
@@ -69,7 +72,7 @@
     pub number: u64,
 }
 
-/// The name by which a caller addresses a job.
+/// The address by which a caller refers to a job.
 #[value]
 #[derive(Hash)]
 pub enum JobAddress {
@@ -84,9 +87,9 @@
     Key {
         /// The team that the key belongs to.
         team: Arc<str>,
-        /// The caller's key.
+        /// The key that the caller chose.
         key: Arc<str>,
     },
-    /// A job that nobody will ask for again: it lives as long as its request.
+    /// A job without an address, which ends with its request.
     Single,
 }
--- a/lib/src/job.rs
+++ b/lib/src/job.rs
@@ -1,4 +1,4 @@
-//! One job: its tasks, and who waits for its answer.
+//! A job: its tasks, its origin and who waits for its answer.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -20,16 +20,16 @@
 use crate::time::Timestamp;
 use crate::timer::TimerKey;
 
-/// Someone who is told a job's answer.
+/// A request that is waiting for a job's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Waiter {
     /// A caller of this entry instance.
     Request(RequestId),
-    /// A caller of a sibling, which forwarded the request.
+    /// A request of a sibling's caller, which the sibling forwarded.
     Sibling {
         /// The sibling's name.
         instance: Arc<str>,
-        /// The sibling's number for the request.
+        /// The number that the sibling gave the request.
         correlation: u64,
     },
 }
@@ -37,47 +37,49 @@
 /// Where a job came from.
 #[derive(Debug)]
 pub(crate) enum JobOrigin {
-    /// Callers submitted it, and this entry instance is its home.
+    /// A caller submitted it, and this incarnation is its home.
     Callers {
-        /// Its address.
+        /// The job's address.
         address: JobAddress,
-        /// Who is told the answer.
+        /// Who is sent the answer.
         waiters: Vec<Waiter>,
     },
-    /// Its home, a sibling, sent these tasks of it.
+    /// It holds tasks that the job's home, a sibling, forwarded in a batch.
     Batch {
         /// The home's name.
         instance: Arc<str>,
-        /// The batch.
+        /// The number of the batch.
         batch: BatchId,
-        /// The tasks that ended, told in one message.
+        /// The ends of its tasks so far, which are reported in one message.
         ends: Vec<TaskEnd>,
     },
 }
 
-/// How far a job is.
+/// The stage of a job's life cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum JobStage {
-    /// Its idempotency key is being claimed; nothing may start.
+    /// Its idempotency key is being claimed; no task may start.
     Claiming,
-    /// Its tasks may start.
+    /// Its tasks may be started.
     Open,
-    /// It has its answer.
+    /// It has been answered.
     Ended,
 }
 
-/// How far a task is.
+/// The state of a task.
 #[derive(Debug)]
 pub(crate) enum TaskState {
     /// Not started.
     Waiting,
-    /// Started at an upstream.
+    /// In flight to an upstream.
     Running(AttemptId),
-    /// Handed to a sibling.
+    /// Forwarded to a sibling.
     Forwarded,
-    /// Finished.
+    /// Finished, with the body of the upstream's answer.
     Done(Bytes),
-    /// Ended otherwise; only tasks of batches go on after it.
+    /// Ended otherwise, or ended in a batch, where [`JobOrigin::Batch`] holds the end.
+    ///
+    /// Only a batch goes on after such a task; a caller's job ends with it.
     Ended,
 }
 
@@ -87,11 +89,11 @@
     pub(crate) id: TaskId,
     pub(crate) input: Bytes,
     pub(crate) state: TaskState,
-    /// Attempts that ended as not started.
-    pub(crate) refused_attempts: u32,
+    /// The number of attempts that ended as not started.
+    pub(crate) not_started_attempts: u32,
 }
 
-/// One job, or the part of a sibling's job that runs here.
+/// A job, or the tasks of a sibling's job that run here.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) origin: JobOrigin,
@@ -100,60 +102,60 @@
     pub(crate) team: TeamKey,
     pub(crate) needs: Needs,
     pub(crate) idempotent: bool,
-    /// The run time that the caller declared for one task.
+    /// The run time of one task as declared by the caller.
     pub(crate) declared_run_time: Option<Duration>,
     pub(crate) traceparent: Option<Arc<str>>,
     pub(crate) deadline: Timestamp,
     pub(crate) deadline_timer: TimerKey,
-    /// A fingerprint of what was submitted, to tell a resubmission from another job.
+    /// A hash of the submission, which distinguishes a resubmission from another job.
     pub(crate) fingerprint: u64,
     pub(crate) tasks: Vec<Task>,
-    /// The indexes of tasks that wait, in the order to start them.
+    /// The indexes of waiting tasks, in the order in which to start them.
     pub(crate) waiting: VecDeque<u32>,
-    /// Tasks that have not ended.
+    /// The number of tasks that have not ended.
     pub(crate) open_tasks: u32,
-    /// Tasks running here or at siblings.
+    /// The number of tasks in flight to upstreams or forwarded to siblings.
     pub(crate) in_flight: u32,
-    /// Whether some task ran, or may have run and ended.
+    /// Whether a task has ended that ran or may have run.
     pub(crate) ran: bool,
-    /// Tasks of the whole job that had not ended when it came in, beyond those here.
+    /// For a batch: the tasks of the whole job outside the batch that were open when it arrived.
     pub(crate) remaining_elsewhere: u32,
-    /// The first claim of its key since when nothing ran under the key here.
+    /// The number of the earliest claim of its key since which nothing has run under the key here.
     pub(crate) first_claim: Option<u64>,
     pub(crate) answer: Option<Arc<JobAnswer>>,
 }
 
 impl Job {
-    /// Tasks of the whole job that have not ended, for the order in the queue.
+    /// The number of open tasks of the whole job, by which the queue is ordered.
     pub(crate) fn remaining(&self) -> u32 {
         self.open_tasks + self.remaining_elsewhere
     }
 
-    /// Whether some task started, or may have.
+    /// Whether a task was started, or may have been.
     pub(crate) fn may_have_run(&self) -> bool {
         self.ran || self.in_flight > 0
     }
 
-    /// Whether every task ended.
+    /// Whether every task has ended.
     pub(crate) fn is_finished(&self) -> bool {
         self.open_tasks == 0
     }
 
-    /// Takes the next waiting task and gives its index.
+    /// Removes the next waiting task and returns its index.
     pub(crate) fn take_waiting(&mut self) -> Option<u32> {
         self.waiting.pop_front()
     }
 
-    /// Marks a task as started or forwarded.
+    /// Marks a task as running or forwarded.
     pub(crate) fn set_in_flight(&mut self, index: u32, state: TaskState) {
         self.tasks[index as usize].state = state;
         self.in_flight += 1;
     }
 
-    /// Puts a task that did not start back to wait, before the others.
-    pub(crate) fn put_back(&mut self, index: u32) {
+    /// Returns a task that did not start to the front of the waiting tasks.
+    pub(crate) fn requeue(&mut self, index: u32) {
         self.tasks[index as usize].state = TaskState::Waiting;
-        self.tasks[index as usize].refused_attempts += 1;
+        self.tasks[index as usize].not_started_attempts += 1;
         self.in_flight -= 1;
         self.waiting.push_front(index);
     }
@@ -175,7 +177,7 @@
         }
     }
 
-    /// The bodies of a finished job's tasks, in their order.
+    /// Takes the bodies of a finished job's tasks, in the order of the tasks.
     pub(crate) fn take_results(&mut self) -> Vec<Bytes> {
         let tasks = std::mem::take(&mut self.tasks);
         let bodies = tasks.into_iter().filter_map(|task| match task.state {
--- a/lib/src/key_table.rs
+++ b/lib/src/key_table.rs
@@ -1,4 +1,4 @@
-//! The idempotency keys that this incarnation claimed or is claiming.
+//! The idempotency keys that this incarnation has claimed or is claiming.
 
 use std::sync::Arc;
 
@@ -11,21 +11,21 @@
 /// An idempotency key of a team.
 #[value]
 #[derive(Hash)]
-pub(crate) struct KeyName {
+pub(crate) struct IdempotencyKey {
     pub(crate) team: Arc<str>,
     pub(crate) key: Arc<str>,
 }
 
-/// What this incarnation knows of a key.
+/// The state of a key as known to this incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyState {
-    /// Nothing is known here; the table may know more.
+    /// Nothing is known here; the platform's table may hold a claim.
     Unknown,
-    /// The job under it, open or with its kept answer.
+    /// This incarnation is home to the key's job, which is open or whose answer is kept.
     Job(JobKey),
-    /// The key is ours, and nothing ran under it.
-    OwnedNotRun,
-    /// Claims of ours may have taken effect or not, and nothing ran under the key since.
+    /// This incarnation has claimed the key, and nothing has run under it.
+    ClaimedNotRun,
+    /// It is not known whether our claims have taken effect; nothing has run under the key since.
     Unresolved {
         /// The number of the first of these claims.
         first_claim: u64,
@@ -38,11 +38,11 @@
     expires_at: Timestamp,
 }
 
-/// The keys known here, bounded in count.
+/// The known keys, limited in number.
 #[derive(Debug)]
 pub(crate) struct KeyTable {
     max_keys: usize,
-    keys: IndexMap<KeyName, KeyRecord>,
+    keys: IndexMap<IdempotencyKey, KeyRecord>,
 }
 
 impl KeyTable {
@@ -53,15 +53,18 @@
         }
     }
 
-    /// What is known of a key.
-    pub(crate) fn state(&self, name: &KeyName) -> KeyState {
+    /// The state of a key.
+    pub(crate) fn state(&self, name: &IdempotencyKey) -> KeyState {
         self.keys
             .get(name)
             .map_or(KeyState::Unknown, |record| record.state)
     }
 
-    /// Sets what is known of a key until `expires_at`; forgetting is always safe.
-    pub(crate) fn set(&mut self, name: KeyName, state: KeyState, expires_at: Timestamp) {
+    /// Records the state of a key until `expires_at`.
+    ///
+    /// A record is evicted when the table is full. This is safe: an unknown key is claimed again,
+    /// and the platform's table still holds the earlier claim.
+    pub(crate) fn set(&mut self, name: IdempotencyKey, state: KeyState, expires_at: Timestamp) {
         if state == KeyState::Unknown {
             self.keys.swap_remove(&name);
             return;
@@ -72,7 +75,7 @@
         self.keys.insert(name, KeyRecord { state, expires_at });
     }
 
-    /// Forgets the keys whose time is over.
+    /// Removes the keys whose records have expired.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.keys.retain(|_, record| record.expires_at > now);
     }
--- a/lib/src/keys.rs
+++ b/lib/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys into the arenas of one dispatcher.
+//! Keys of the arenas in which a dispatcher keeps its state.
 
 slotmap::new_key_type! {
     /// A service of the installed document.
@@ -7,8 +7,8 @@
     pub struct UpstreamKey;
     /// A team of the installed document.
     pub struct TeamKey;
-    /// A job that is open at this entry instance.
+    /// A job that is open here or whose answer is kept.
     pub struct JobKey;
-    /// Another entry instance.
+    /// A sibling entry instance.
     pub struct SiblingKey;
 }
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,6 +1,7 @@
-//! The decisions, the document and the messages of almondhead, without input or output.
+//! The core of almondhead: dispatch decisions, the document and the peer messages.
 //!
-//! Time, randomness and input come in as values; output goes out as typed actions.
+//! It performs no I/O. Time, randomness and events are passed in as values, and whatever has to be
+//! done is returned as typed actions.
 
 mod accepting;
 pub mod action;
@@ -53,7 +54,6 @@
 #[rustfmt::skip]
 pub mod peer_proto;
 mod pending_claim;
-mod plan;
 pub mod policies;
 pub mod power_of_two;
 pub mod queue;
@@ -78,6 +78,7 @@
 mod session;
 pub mod session_token;
 mod sibling_table;
+mod site_state;
 mod size_class;
 pub mod slow_weight;
 mod starting;
--- a/lib/src/message_counts.rs
+++ b/lib/src/message_counts.rs
@@ -1,17 +1,17 @@
-//! Counts of the messages that the dispatcher causes, by kind.
+//! Counts by kind of the messages that the dispatcher sends and of upstreams' answers.
 
 use crate::peer_message::PeerMessage;
 
-/// Messages since the start of the process, by kind.
+/// Numbers of messages since the start of the process, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MessageCounts {
-    /// Requests that started a task at an upstream, or tried to.
+    /// Attempts to start a task at an upstream.
     pub attempts: u64,
-    /// Answers of upstreams that finished or failed a task.
+    /// Answers of upstreams to tasks that finished or failed.
     pub upstream_answers: u64,
     /// Attempts that ended as not started.
     pub refusals: u64,
-    /// Attempts at tasks that had an attempt before.
+    /// Attempts at tasks of which an earlier attempt did not start.
     pub retries: u64,
     /// Requests forwarded to the home of their job.
     pub forwards: u64,
@@ -19,16 +19,16 @@
     pub forward_answers: u64,
     /// Batches of tasks sent to siblings.
     pub batches: u64,
-    /// Answers to batches, refusals among them.
+    /// Answers to batches, including refusals.
     pub batch_answers: u64,
     /// Cancellations sent to siblings and upstreams.
     pub cancels: u64,
-    /// Digests, and requests and bodies of documents.
+    /// Digests, document requests and bodies, and messages about leased runs.
     pub control: u64,
 }
 
 impl MessageCounts {
-    /// Each count with the name of its kind.
+    /// Each count with its kind, as in the metric's label.
     pub const fn by_kind(&self) -> [(&'static str, u64); 10] {
         [
             ("attempt", self.attempts),
--- a/lib/src/ownership.rs
+++ b/lib/src/ownership.rs
@@ -1,19 +1,19 @@
-//! Which entry instance owns which upstream.
+//! Assignment of upstreams to the entry instances that own them, by rendezvous hashing.
 
 use almondhead_macros::value;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// An upstream to be owned.
+/// An upstream to assign to an owner.
 #[value]
 #[derive(Copy)]
 pub struct OwnedUpstream<'a> {
-    /// The unique name.
+    /// Its unique name.
     pub name: &'a str,
-    /// How many tasks it runs at a time.
+    /// The number of tasks that it can run at a time.
     pub slots: u32,
 }
 
-/// A possible owner of an upstream; the pairs with high scores are taken first.
+/// An upstream and a possible owner; pairs with higher scores are assigned first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Pair {
     score: u64,
@@ -23,8 +23,8 @@
 
 /// The index of the owning instance of each upstream, in the order of `upstreams`.
 ///
-/// Instances own nearly the same number of slots. The result depends on the names and slots alone,
-/// not on their order, and few upstreams change hands when an instance joins or leaves. It is
+/// Instances own nearly the same number of slots. The result depends only on the names and slots,
+/// not on their order, and few upstreams change owner when an instance joins or leaves. It is
 /// empty without instances.
 pub fn assign_owners(upstreams: &[OwnedUpstream<'_>], instances: &[&str]) -> Vec<usize> {
     if instances.is_empty() {
@@ -32,18 +32,19 @@
     }
     let mut assignment = Assignment::new(upstreams, instances.len());
     let pairs = ranked_pairs(upstreams, instances);
-    assignment.take(&pairs, assignment.even_share());
-    assignment.take(&pairs, assignment.even_share() + assignment.most_slots());
+    assignment.assign_within(&pairs, assignment.even_share());
+    assignment.assign_within(&pairs, assignment.even_share() + assignment.max_slots());
     assignment
         .owners
         .into_iter()
-        .map(|owner| owner.expect("the second pass leaves room for every upstream"))
+        .map(|owner| owner.expect("the cap of the second pass admits every upstream"))
         .collect()
 }
 
-/// The index of the instance that owns an upstream by its name and theirs alone.
+/// The index of the instance that owns an upstream; `None` without instances.
 ///
-/// Whoever knows the same instances names the same owner, whatever other upstreams it knows.
+/// It depends only on the names of the upstream and the instances, so all who know the same
+/// instances find the same owner whatever other upstreams they know.
 pub fn rendezvous_owner(upstream: &str, instances: &[&str]) -> Option<usize> {
     let seed = xxh3_64_with_seed(upstream.as_bytes(), 0);
     let scores = instances.iter().enumerate();
@@ -51,12 +52,12 @@
     scores.max().map(|(_, index)| index)
 }
 
-/// The score of an instance for an upstream with this seed.
+/// The rendezvous hash of an instance for an upstream with this seed.
 fn score(upstream_seed: u64, instance: &str) -> u64 {
     xxh3_64_with_seed(instance.as_bytes(), upstream_seed)
 }
 
-/// All pairs, the highest score first.
+/// All pairs in descending order of their scores.
 fn ranked_pairs(upstreams: &[OwnedUpstream<'_>], instances: &[&str]) -> Vec<Pair> {
     let mut pairs = Vec::with_capacity(upstreams.len() * instances.len());
     for (upstream, owned) in upstreams.iter().enumerate() {
@@ -74,7 +75,7 @@
     pairs
 }
 
-/// Owners as far as they are found.
+/// The owners assigned so far and the slots of each instance.
 struct Assignment<'a> {
     upstreams: &'a [OwnedUpstream<'a>],
     owners: Vec<Option<usize>>,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// The slots that each instance would own if they could be split, rounded down.
+    /// The slots per instance if they could be split evenly, rounded down.
     fn even_share(&self) -> u64 {
         let total: u64 = self
             .upstreams
@@ -100,13 +101,13 @@
         total / self.owned_slots.len() as u64
     }
 
-    fn most_slots(&self) -> u64 {
-        let most = self.upstreams.iter().map(|owned| owned.slots).max();
-        u64::from(most.unwrap_or(0))
+    fn max_slots(&self) -> u64 {
+        let max = self.upstreams.iter().map(|owned| owned.slots).max();
+        u64::from(max.unwrap_or(0))
     }
 
-    /// Gives unowned upstreams to instances that stay within `cap` slots.
-    fn take(&mut self, pairs: &[Pair], cap: u64) {
+    /// Assigns upstreams without an owner to instances that stay within `cap` slots.
+    fn assign_within(&mut self, pairs: &[Pair], cap: u64) {
         for pair in pairs {
             let slots = u64::from(self.upstreams[pair.upstream].slots);
             let owned = &mut self.owned_slots[pair.instance];
--- a/lib/src/replay_window.rs
+++ b/lib/src/replay_window.rs
@@ -1,8 +1,8 @@
-//! Telling numbers that came before from new ones, in bounded memory.
+//! Detection of repeated message numbers in bounded memory.
 
 use std::collections::BTreeSet;
 
-/// Remembers the highest numbers seen; a number below all of them counts as seen.
+/// A window over the highest numbers seen; any number below the window counts as seen.
 #[derive(Debug)]
 pub struct ReplayWindow {
     capacity: usize,
@@ -11,7 +11,7 @@
 }
 
 impl ReplayWindow {
-    /// A window that remembers at most `capacity` numbers.
+    /// Creates a window that remembers at most `capacity` numbers.
     pub fn new(capacity: usize) -> Self {
         ReplayWindow {
             capacity,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Records `number` and says whether it is new for certain.
+    /// Records `number` and returns whether it is certainly new.
     pub fn record(&mut self, number: u64) -> bool {
         if number < self.low || !self.seen.insert(number) {
             return false;
--- a/lib/src/sent_batch.rs
+++ b/lib/src/sent_batch.rs
@@ -1,4 +1,4 @@
-//! The batches of tasks that siblings run for jobs of this home.
+//! The batches of tasks that were forwarded to siblings.
 
 use indexmap::IndexMap;
 
@@ -7,15 +7,15 @@
 use crate::keys::JobKey;
 use crate::keys::SiblingKey;
 
-/// One batch at a sibling.
+/// A batch that was sent to a sibling and has not ended.
 #[derive(Debug)]
 pub(crate) struct SentBatch {
     pub(crate) job: JobKey,
-    /// Its tasks that have not ended, by their place in the job.
+    /// The index in the job of each of its tasks that have not ended.
     pub(crate) open: IndexMap<TaskId, u32>,
 }
 
-/// All batches that have not ended.
+/// All batches that have not ended, by receiving sibling and number.
 #[derive(Debug, Default)]
 pub(crate) struct SentBatches {
     batches: IndexMap<(SiblingKey, BatchId), SentBatch>,
@@ -38,7 +38,7 @@
         self.batches.swap_remove(&(sibling, batch))
     }
 
-    /// Removes every batch at a sibling.
+    /// Removes all batches sent to a sibling.
     pub(crate) fn remove_all_of(&mut self, sibling: SiblingKey) -> Vec<SentBatch> {
         let of_sibling = |(key, _): &(SiblingKey, BatchId)| *key == sibling;
         let keys: Vec<_> = self.batches.keys().copied().filter(of_sibling).collect();
@@ -47,7 +47,7 @@
             .collect()
     }
 
-    /// Removes every batch of a job and gives where it was.
+    /// Removes all batches of a job and returns their siblings and numbers.
     pub(crate) fn remove_of_job(&mut self, job: JobKey) -> Vec<(SiblingKey, BatchId)> {
         let batches = self.batches.iter();
         let keys: Vec<_> = batches
--- a/lib/src/service_state.rs
+++ b/lib/src/service_state.rs
@@ -1,4 +1,4 @@
-//! One service as this entry instance sees it.
+//! The state of a service at this entry instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::run_estimate::RunEstimate;
 use crate::service::Service;
 
-/// One service: its settings, its queue and what was measured of its tasks.
+/// A service: its settings, queue, policies and run time estimates.
 #[derive(Debug)]
 pub(crate) struct ServiceState {
     pub(crate) name: Arc<str>,
     pub(crate) settings: Service,
-    /// Whether the document still names it.
+    /// Whether the installed document lists it.
     pub(crate) present: bool,
     /// Its upstreams, in the order of the document.
     pub(crate) upstreams: Vec<UpstreamKey>,
@@ -32,15 +32,15 @@
     pub(crate) admission: Box<dyn Admission>,
     pub(crate) overflow: Box<dyn Overflow>,
     pub(crate) estimate: RunEstimate,
-    pub(crate) retries: RetryBudget,
-    /// Tasks that wait here.
+    pub(crate) retry_budget: RetryBudget,
+    /// The number of tasks waiting here.
     pub(crate) queued_tasks: u32,
-    /// Attempts that run from here.
+    /// The number of attempts in flight from here.
     pub(crate) running: u32,
 }
 
 impl ServiceState {
-    /// A service with an empty queue.
+    /// Creates a service with an empty queue.
     pub(crate) fn new(settings: Service, policies: &Policies, seed: u64) -> Self {
         ServiceState {
             name: Arc::from(settings.name.as_str()),
@@ -52,29 +52,29 @@
             admission: admission_for(policies.admission),
             overflow: overflow_for(policies.prefer),
             estimate: RunEstimate::default(),
-            retries: RetryBudget::new(policies.retry_percent),
+            retry_budget: RetryBudget::new(policies.retry_percent),
             queued_tasks: 0,
             running: 0,
         }
     }
 
-    /// Takes over new policies, but for the order of the queue.
+    /// Applies new policies, except the order of the queue.
     pub(crate) fn set_policies(&mut self, old: &Policies, new: &Policies, seed: u64) {
         self.choice = choice_for(new.choice, seed);
         self.admission = admission_for(new.admission);
         self.overflow = overflow_for(new.prefer);
         if old.retry_percent != new.retry_percent {
-            self.retries = RetryBudget::new(new.retry_percent);
+            self.retry_budget = RetryBudget::new(new.retry_percent);
         }
     }
 
-    /// Empties the queue and takes another order for it.
+    /// Replaces the queue by an empty one of another order.
     pub(crate) fn reset_queue(&mut self, policy: QueuePolicy) {
         self.queue = queue_for(policy);
         self.queued_tasks = 0;
     }
 
-    /// Learns from a finished task and what was declared for it.
+    /// Records the run time of a finished task and the declared run time, if any.
     pub(crate) fn record_run(&mut self, declared: Option<Duration>, run: Duration) {
         match declared {
             Some(declared) => self.estimate.record_declared(declared, run),
@@ -82,8 +82,8 @@
         }
     }
 
-    /// The estimated run time of some tasks together.
-    pub(crate) fn work_of(&self, tasks: u32) -> Duration {
+    /// The estimated total run time of `tasks` tasks.
+    pub(crate) fn estimated_work(&self, tasks: u32) -> Duration {
         self.estimate.reading(None).mean * tasks
     }
 }
--- a/lib/src/session.rs
+++ b/lib/src/session.rs
@@ -1,4 +1,4 @@
-//! The sessions of which this incarnation is the home.
+//! The sessions that this incarnation has opened.
 
 use std::collections::BTreeMap;
 
@@ -7,29 +7,29 @@
 use crate::keys::JobKey;
 use crate::time::Timestamp;
 
-/// What is known of a job number.
+/// The state of a job number in a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NumberState {
-    /// Never submitted, for certain.
+    /// Certainly never submitted.
     Unused,
-    /// Submitted; the job or its answer is kept.
+    /// Submitted; the job is open or its answer is kept.
     Job(JobKey),
     /// Cancelled before it was submitted.
     Cancelled,
-    /// Submitted, or older than the window; nothing is kept.
+    /// Submitted, or below the window; no answer is kept.
     Expired,
 }
 
-/// One session: a window over the caller's job numbers.
+/// A session: the states of the job numbers in a sliding window.
 #[derive(Debug, Default)]
 struct Session {
-    /// Numbers below this one can run no more.
+    /// The lower end of the window; jobs with lower numbers are not run any more.
     low: u64,
     numbers: BTreeMap<u64, NumberState>,
     used_at: Timestamp,
 }
 
-/// The sessions of this incarnation, bounded in count and in numbers each.
+/// The sessions of this incarnation, limited in number and each in its window of job numbers.
 #[derive(Debug)]
 pub(crate) struct SessionTable {
     max_sessions: usize,
@@ -48,10 +48,12 @@
         }
     }
 
-    /// Opens a session, in place of the least recently used one when the table is full.
+    /// Opens a session and returns its number.
+    ///
+    /// The least recently used session is evicted when the table is full.
     pub(crate) fn open(&mut self, now: Timestamp) -> u64 {
         if self.sessions.len() >= self.max_sessions {
-            self.drop_least_recent();
+            self.evict_least_recent();
         }
         let number = self.next_number;
         self.next_number += 1;
@@ -63,14 +65,14 @@
         number
     }
 
-    fn drop_least_recent(&mut self) {
+    fn evict_least_recent(&mut self) {
         let oldest = self.sessions.iter().min_by_key(|(_, s)| s.used_at);
         if let Some(number) = oldest.map(|(number, _)| *number) {
             self.sessions.swap_remove(&number);
         }
     }
 
-    /// What is known of a job number; numbers of unknown sessions count as expired.
+    /// The state of a job number; numbers of unknown sessions are expired.
     pub(crate) fn state(&mut self, now: Timestamp, session: u64, number: u64) -> NumberState {
         let Some(session) = self.sessions.get_mut(&session) else {
             return NumberState::Expired;
@@ -83,7 +85,7 @@
         known.unwrap_or(NumberState::Unused)
     }
 
-    /// Sets what is known of a job number and moves the window up to hold it.
+    /// Records the state of a job number and advances the window to include it.
     pub(crate) fn set(&mut self, session: u64, number: u64, state: NumberState) {
         let window = self.window;
         let Some(session) = self.sessions.get_mut(&session) else {
@@ -104,7 +106,7 @@
         }
     }
 
-    /// The sessions held.
+    /// The number of sessions.
     pub(crate) fn len(&self) -> usize {
         self.sessions.len()
     }
--- a/lib/src/session_token.rs
+++ b/lib/src/session_token.rs
@@ -1,4 +1,4 @@
-//! Session ids as callers hold them: text that cannot be forged.
+//! Session tokens: authenticated session identifiers that callers present.
 
 use std::sync::Arc;
 
@@ -14,25 +14,25 @@
 use crate::id::Incarnation;
 use crate::id::SessionId;
 
-/// The longest instance name that a token carries, in bytes.
+/// The maximum length in bytes of the instance name in a token.
 pub const MAX_INSTANCE_BYTES: usize = 255;
 
-/// The longest token in bytes of text.
+/// The maximum length of a token in bytes of text.
 pub const MAX_TOKEN_BYTES: usize = (FIXED_BYTES + MAX_INSTANCE_BYTES + TAG_BYTES).div_ceil(3) * 4;
 
 const VERSION: u8 = 1;
 const FIXED_BYTES: usize = 1 + 8 + 8;
 
-/// Issues and verifies the tokens by which callers name their sessions.
+/// Issues and verifies session tokens.
 ///
 /// A token is the URL-safe base64, without padding, of the session's fields and their
-/// HMAC-SHA256 under the firm's shared key, so every entry instance can verify it without a list.
+/// HMAC-SHA256 under the shared key, so every entry instance can verify it without stored state.
 #[derive(Clone, Debug)]
 pub struct SessionTokens {
     authenticator: Authenticator,
 }
 
-/// Why a token names no session.
+/// Why a session token was rejected.
 #[key]
 #[derive(Display, Error)]
 pub enum TokenError {
@@ -48,15 +48,14 @@
 }
 
 impl SessionTokens {
-    /// Tokens under the firm's shared `key`.
+    /// Creates an issuer of tokens authenticated by the shared `key`.
     pub fn new(key: &[u8]) -> Self {
         SessionTokens {
             authenticator: Authenticator::new(key, Purpose::SessionToken),
         }
     }
 
-    /// The token that names `session`, whose instance name has at most
-    /// [`MAX_INSTANCE_BYTES`].
+    /// The token of `session`, whose instance name must not exceed [`MAX_INSTANCE_BYTES`].
     pub fn issue(&self, session: &SessionId) -> String {
         debug_assert!(session.instance.len() <= MAX_INSTANCE_BYTES);
         let mut bytes = encode_fields(session);
@@ -65,11 +64,11 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The session that `token` names.
+    /// The session that `token` identifies.
     ///
     /// # Errors
     ///
-    /// [`TokenError`] when the text is no token issued under this key.
+    /// [`TokenError`] when the text is not a token issued under this key.
     pub fn verify(&self, token: &str) -> Result<SessionId, TokenError> {
         if token.len() > MAX_TOKEN_BYTES {
             return Err(TokenError::TooLong);
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -1,4 +1,4 @@
-//! The other entry instances: what they told of themselves, and what was sent to them.
+//! The other entry instances: their load, their last contact and the numbers of their messages.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,16 +17,16 @@
 use crate::replay_window::ReplayWindow;
 use crate::time::Timestamp;
 
-/// How long a sibling may be silent before no work is forwarded to it.
+/// How long no message may arrive from a sibling before no work is forwarded to it.
 pub(crate) const SIBLING_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How many of a sibling's latest message numbers are remembered.
-const REPLAY_NUMBERS: usize = 4_096;
+/// The number of latest message numbers that are remembered per incarnation of a sibling.
+const REPLAY_WINDOW_NUMBERS: usize = 4_096;
 
-/// How many of a sibling's latest incarnations are told apart.
-const INCARNATIONS_SEEN: usize = 4;
+/// The number of latest incarnations of a sibling whose message numbers are remembered.
+const MAX_REMEMBERED_INCARNATIONS: usize = 4;
 
-/// One sibling entry instance.
+/// The state of a sibling entry instance.
 #[derive(Debug)]
 pub(crate) struct SiblingState {
     pub(crate) listed: Sibling,
@@ -36,11 +36,11 @@
     pub(crate) last_contact_at: Option<Timestamp>,
     pub(crate) digest: LoadDigest,
     last_batch: u64,
-    /// What its latest incarnations sent, since a late message may be of an earlier one.
+    /// The message numbers of its latest incarnations; a late message may come from an earlier one.
     seen: IndexMap<Incarnation, SeenNumbers>,
 }
 
-/// The numbers of the messages that one incarnation of a sibling sent.
+/// The numbers of the batches and requests that one incarnation of a sibling sent.
 #[derive(Debug)]
 struct SeenNumbers {
     batches: ReplayWindow,
@@ -50,8 +50,8 @@
 impl Default for SeenNumbers {
     fn default() -> Self {
         SeenNumbers {
-            batches: ReplayWindow::new(REPLAY_NUMBERS),
-            requests: ReplayWindow::new(REPLAY_NUMBERS),
+            batches: ReplayWindow::new(REPLAY_WINDOW_NUMBERS),
+            requests: ReplayWindow::new(REPLAY_WINDOW_NUMBERS),
         }
     }
 }
@@ -69,18 +69,18 @@
         }
     }
 
-    /// Whether it spoke lately.
+    /// Whether a message arrived from it recently.
     pub(crate) fn is_reachable(&self, now: Timestamp) -> bool {
         self.last_contact_at
             .is_some_and(|last_contact_at| now.since(last_contact_at) < SIBLING_TIMEOUT)
     }
 
-    /// Whether it may be sent work.
-    pub(crate) fn takes_work(&self, now: Timestamp) -> bool {
+    /// Whether tasks may be forwarded to it.
+    pub(crate) fn can_accept_work(&self, now: Timestamp) -> bool {
         self.is_reachable(now) && !self.listed.leaving && !self.digest.leaving
     }
 
-    /// Its load for a service, as last told, less what was sent since.
+    /// Its last reported load of a service, adjusted by the tasks sent to it since.
     pub(crate) fn load(&self, service: &str) -> Option<&ServiceLoad> {
         self.digest
             .services
@@ -88,7 +88,7 @@
             .find(|load| &*load.service == service)
     }
 
-    /// Counts tasks that were sent to it against its free slots.
+    /// Counts tasks sent to it against the free slots that it reported.
     pub(crate) fn take_capacity(&mut self, service: &str, tasks: u32) {
         let load = self.digest.services.iter_mut();
         let Some(load) = load.into_iter().find(|load| &*load.service == service) else {
@@ -99,26 +99,26 @@
         load.queued_tasks += waiting;
     }
 
-    /// Forgets its free slots until the next digest.
+    /// Assumes that it has no free slots until its next digest.
     pub(crate) fn clear_capacity(&mut self) {
         for load in &mut self.digest.services {
             load.free_slots = 0;
         }
     }
 
-    /// The number of the next batch to it.
+    /// Allocates the number of the next batch to it.
     pub(crate) fn next_batch(&mut self) -> BatchId {
         self.last_batch += 1;
         BatchId(self.last_batch)
     }
 
-    /// Records a batch that came from it and says whether it is new.
+    /// Records a batch received from it and returns whether it is new.
     pub(crate) fn record_batch(&mut self, batch: BatchId) -> bool {
         let seen = self.seen_of_sender();
         seen.is_some_and(|seen| seen.batches.record(batch.0))
     }
 
-    /// Records a request that came from it and says whether it is new.
+    /// Records a request received from it and returns whether it is new.
     pub(crate) fn record_request(&mut self, correlation: u64) -> bool {
         let seen = self.seen_of_sender();
         seen.is_some_and(|seen| seen.requests.record(correlation))
@@ -131,17 +131,17 @@
     fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
         self.digest = LoadDigest::default();
-        if self.seen.len() >= INCARNATIONS_SEEN && !self.seen.contains_key(&incarnation) {
+        if self.seen.len() >= MAX_REMEMBERED_INCARNATIONS && !self.seen.contains_key(&incarnation) {
             self.seen.shift_remove_index(0);
         }
         self.seen.entry(incarnation).or_default();
     }
 }
 
-/// All siblings, found by name.
+/// All siblings, indexed by name.
 #[derive(Debug)]
 pub(crate) struct SiblingTable {
-    /// What the numbers of batches follow.
+    /// The number after which batches to a new sibling are numbered.
     first_number: u64,
     siblings: SlotMap<SiblingKey, SiblingState>,
     names: IndexMap<Arc<str>, SiblingKey>,
@@ -149,7 +149,7 @@
 }
 
 impl SiblingTable {
-    /// An empty table whose batches are numbered after `first_number`.
+    /// Creates an empty table whose batches are numbered after `first_number`.
     pub(crate) fn new(first_number: u64) -> Self {
         SiblingTable {
             first_number,
@@ -159,9 +159,9 @@
         }
     }
 
-    /// Takes over a membership; `one_way` gives the distance to a data centre.
+    /// Applies a membership; `one_way` returns the one-way delay to a data centre.
     ///
-    /// Gives the siblings whose last incarnation heard of has ended, or that were never heard.
+    /// Returns the siblings whose last known incarnation has ended, or that never sent a message.
     pub(crate) fn update(
         &mut self,
         membership: &Membership,
@@ -169,15 +169,15 @@
     ) -> Vec<SiblingKey> {
         self.ended = membership.ended.iter().copied().collect();
         for listed in &membership.siblings {
-            let distance = one_way(&listed.data_centre);
+            let delay = one_way(&listed.data_centre);
             let known = self.names.get(&listed.name).copied();
             if let Some(key) = known {
                 let state = &mut self.siblings[key];
                 state.listed = listed.clone();
-                state.one_way = distance;
+                state.one_way = delay;
                 continue;
             }
-            let state = SiblingState::new(listed.clone(), distance, self.first_number);
+            let state = SiblingState::new(listed.clone(), delay, self.first_number);
             let key = self.siblings.insert(state);
             self.names.insert(listed.name.clone(), key);
         }
@@ -185,33 +185,33 @@
             let mut siblings = membership.siblings.iter();
             !siblings.any(|sibling| sibling.name == state.listed.name)
         };
-        let mut gone = Vec::new();
+        let mut ended_siblings = Vec::new();
         for key in self.names.values().copied().collect::<Vec<SiblingKey>>() {
             let state = &mut self.siblings[key];
             let has_ended = state.incarnation.is_none_or(|i| self.ended.contains(&i));
             if has_ended {
-                gone.push(key);
+                ended_siblings.push(key);
             }
             if unlisted(state) {
-                // A list may lack a live sibling, which then goes on with what it has.
+                // The list may omit a live sibling, which still finishes the work that it has.
                 state.listed.leaving = true;
                 if has_ended {
                     self.drop_sibling(key);
                 }
             }
         }
-        gone
+        ended_siblings
     }
 
     fn drop_sibling(&mut self, key: SiblingKey) {
-        // A sibling listed again remembers the numbers that it has seen.
+        // The sibling may be listed again, and it rejects batch numbers that it has already seen.
         if let Some(state) = self.siblings.remove(key) {
             self.first_number = self.first_number.max(state.last_batch);
             self.names.swap_remove(&state.listed.name);
         }
     }
 
-    /// Notes that a message came; true when the sender restarted since its last one.
+    /// Records the arrival of a message; returns whether the sender restarted since its last one.
     pub(crate) fn record_message(
         &mut self,
         key: SiblingKey,
@@ -228,32 +228,32 @@
         restarted
     }
 
-    /// Whether an incarnation is known to have ended.
+    /// Whether the membership lists an incarnation as ended.
     pub(crate) fn has_ended(&self, incarnation: Incarnation) -> bool {
         self.ended.contains(&incarnation)
     }
 
-    /// The sibling of this name.
+    /// The sibling with this name.
     pub(crate) fn by_name(&self, name: &str) -> Option<SiblingKey> {
         self.names.get(name).copied()
     }
 
-    /// The sibling of this key, when it is still listed.
+    /// The sibling with this key, if it is still known.
     pub(crate) fn get(&self, key: SiblingKey) -> Option<&SiblingState> {
         self.siblings.get(key)
     }
 
-    /// The sibling of this key, when it is still listed.
+    /// The sibling with this key, if it is still known.
     pub(crate) fn get_mut(&mut self, key: SiblingKey) -> Option<&mut SiblingState> {
         self.siblings.get_mut(key)
     }
 
-    /// All siblings in the order in which they were first listed.
+    /// All siblings, in the order in which they were first listed.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (SiblingKey, &SiblingState)> {
         self.names.values().map(|key| (*key, &self.siblings[*key]))
     }
 
-    /// The nearest siblings that take part, at most `count`.
+    /// The nearest siblings, at most `count`.
     pub(crate) fn nearest(&self, count: usize) -> Vec<SiblingKey> {
         let mut keys: Vec<SiblingKey> = self.names.values().copied().collect();
         keys.sort_by_key(|key| self.siblings[*key].one_way);
@@ -261,7 +261,7 @@
         keys
     }
 
-    /// The siblings listed.
+    /// The number of known siblings.
     pub(crate) fn len(&self) -> usize {
         self.names.len()
     }
--- a/lib/src/plan.rs
+++ b/lib/src/site_state.rs
@@ -1,4 +1,4 @@
-//! The installed document, indexed, with the state of what it names.
+//! The installed document and the state of its services, upstreams and teams.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,24 +27,24 @@
 use crate::upstream::Upstream;
 use crate::upstream_state::UpstreamState;
 
-/// The one-way time assumed to a data centre that the document gives no distance to.
-const FAR_ONE_WAY: Duration = Duration::from_millis(50);
+/// The one-way delay assumed between data centres for which the document has no distance.
+const DEFAULT_ONE_WAY_DELAY: Duration = Duration::from_millis(50);
 
-/// Connections beyond the slots, over which tasks are stopped while all slots are busy.
-const STOP_CONNECTIONS: u32 = 1;
+/// Connections per upstream beyond its slots, for stopping tasks while all slots are busy.
+const EXTRA_STOP_CONNECTIONS: u32 = 1;
 
-/// One team and its quota at this entry instance.
+/// The settings of a team and its quota at this entry instance.
 #[derive(Debug)]
 pub(crate) struct TeamState {
     pub(crate) settings: Team,
     pub(crate) quota: TeamQuota,
 }
 
-/// The installed document: arenas of services, upstreams and teams, found by name.
+/// The installed document and arenas of its services, upstreams and teams, indexed by name.
 ///
-/// What keeps its name over an installation keeps its key and its state.
+/// A service, upstream or team that keeps its name in a new document keeps its key and state.
 #[derive(Debug, Default)]
-pub(crate) struct Plan {
+pub(crate) struct SiteState {
     pub(crate) revision: u64,
     pub(crate) text: Bytes,
     pub(crate) document: Arc<Document>,
@@ -56,29 +56,29 @@
     team_names: IndexMap<Arc<str>, TeamKey>,
 }
 
-impl Plan {
-    /// Whether a document was ever installed.
-    pub(crate) fn is_installed(&self) -> bool {
+impl SiteState {
+    /// Whether a document is installed.
+    pub(crate) fn has_document(&self) -> bool {
         self.revision > 0
     }
 
-    /// The policies in force.
+    /// The policies of the installed document.
     pub(crate) fn policies(&self) -> &Policies {
         &self.document.policies
     }
 
-    /// The service of this name, when the document names it.
+    /// The service of this name, if the document lists it.
     pub(crate) fn service(&self, name: &str) -> Option<ServiceKey> {
         let key = *self.service_names.get(name)?;
         self.services[key].present.then_some(key)
     }
 
-    /// The team of this name, when the document names it.
+    /// The team of this name, if the document lists it.
     pub(crate) fn team(&self, name: &str) -> Option<TeamKey> {
         self.team_names.get(name).copied()
     }
 
-    /// The one-way time between two data centres.
+    /// The one-way delay between two data centres; zero within one.
     pub(crate) fn one_way(&self, from: &str, to: &str) -> Duration {
         if from == to {
             return Duration::ZERO;
@@ -90,10 +90,10 @@
         };
         between(from, to)
             .or_else(|| between(to, from))
-            .unwrap_or(FAR_ONE_WAY)
+            .unwrap_or(DEFAULT_ONE_WAY_DELAY)
     }
 
-    /// Puts a document of a higher revision in force.
+    /// Installs a document of a higher revision.
     pub(crate) fn install(
         &mut self,
         revision: u64,
@@ -110,15 +110,15 @@
         self.install_upstreams(&document, instances);
     }
 
-    /// Takes back ejections beyond the share of a service's upstreams that may be ejected.
+    /// Reverts ejections beyond the share of a service's upstreams that may be ejected.
     pub(crate) fn review_ejections(&mut self, now: Timestamp, service: ServiceKey) {
         let upstreams = self.upstreams.values_mut();
-        let of_service = upstreams.filter(|u| u.service == service && u.present && u.ours);
+        let of_service = upstreams.filter(|u| u.service == service && u.present && u.assigned);
         EjectionGate.review(now, of_service.map(|upstream| &mut upstream.health));
     }
 
-    /// Gives upstreams that are much slower than their peers fewer slots.
-    pub(crate) fn weigh_slow(&mut self) {
+    /// Reduces the usable slots of upstreams that are much slower than the others of their service.
+    pub(crate) fn update_effective_slots(&mut self) {
         let shun_slow = self.document.policies.shun_slow;
         for service in self.services.values() {
             let upstreams = service.upstreams.iter().map(|key| &self.upstreams[*key]);
@@ -219,14 +219,15 @@
         state.data_centre = Arc::from(upstream.data_centre.as_str());
         state.slots = upstream.slots;
         state.effective_slots = upstream.slots;
-        state.has = equipment_of(upstream);
+        state.resources = resources_of(upstream);
         state.leaves_at_unix_ms = upstream.leaves_at_unix_ms;
     }
 }
 
 fn target_of(upstream: &Upstream, service: &ServiceState, instances: usize) -> Arc<UpstreamTarget> {
     let sharing = u32::try_from(instances).unwrap_or(u32::MAX).max(1);
-    let connections = (upstream.connections / sharing).clamp(1, upstream.slots + STOP_CONNECTIONS);
+    let connections =
+        (upstream.connections / sharing).clamp(1, upstream.slots + EXTRA_STOP_CONNECTIONS);
     let address: SocketAddr = upstream.address;
     Arc::new(UpstreamTarget {
         name: Arc::from(upstream.name.as_str()),
@@ -237,7 +238,7 @@
     })
 }
 
-fn equipment_of(upstream: &Upstream) -> Needs {
+fn resources_of(upstream: &Upstream) -> Needs {
     Needs {
         cores: upstream.cores,
         memory_mib: upstream.memory_mib,
@@ -256,11 +257,11 @@
         service,
         target: target.clone(),
         slots: upstream.slots,
-        has: equipment_of(upstream),
+        resources: resources_of(upstream),
         leaves_at_unix_ms: upstream.leaves_at_unix_ms,
         listed_leaving: false,
         present: true,
-        ours: false,
+        assigned: false,
         in_flight: 0,
         latency: UpstreamLatency::default(),
         effective_slots: upstream.slots,
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -1,4 +1,4 @@
-//! Starting tasks at upstreams, and taking in how their attempts ended.
+//! Starting tasks at upstreams and handling the ends of their attempts.
 
 use crate::action::Action;
 use crate::action::Attempt;
@@ -22,39 +22,39 @@
 use crate::peer_message::TaskEnd;
 use crate::running_attempt::RunningAttempt;
 use crate::submission::Needs;
-use crate::submitting::RETRY_SOON;
+use crate::submitting::DEFAULT_RETRY_AFTER;
 
-/// The most attempts at one task of which nothing could be sent.
+/// After this many attempts that did not start, a task that could not be sent is not retried.
 const MAX_UNSENT_ATTEMPTS: u32 = 8;
 
-/// A free slot, for tasks whose needs its upstream meets.
+/// An upstream with a free slot, for tasks whose needs are within its resources.
 struct FreeUpstream {
     candidate: Candidate,
-    has: Needs,
+    resources: Needs,
 }
 
 impl Dispatcher {
-    /// Starts and forwards what can be started in every service that changed.
+    /// Starts or forwards every task that can be, in all services marked dirty.
     pub(crate) fn dispatch_dirty(&mut self) {
-        while let Some(service) = self.dirty.pop() {
+        while let Some(service) = self.dirty_services.pop() {
             while self.start_next(service) {}
             self.forward_overflow(service);
         }
     }
 
-    /// Starts the next task of a service; false when none can start.
+    /// Starts the next task of a service; returns false when none can start.
     fn start_next(&mut self, service_key: ServiceKey) -> bool {
         let free = self.free_upstreams(service_key);
         if free.is_empty() {
             return false;
         }
-        let Some(service) = self.plan.services.get_mut(service_key) else {
+        let Some(service) = self.site.services.get_mut(service_key) else {
             return false;
         };
         let jobs = &self.jobs;
         let fits = |job: JobKey| {
             let needs = jobs.get(job).map(|job| job.needs);
-            needs.is_some_and(|needs| free.iter().any(|upstream| upstream.has.covers(needs)))
+            needs.is_some_and(|needs| free.iter().any(|upstream| upstream.resources.covers(needs)))
         };
         let Some(job) = service.queue.next(self.now, &mut { fits }) else {
             return false;
@@ -62,7 +62,7 @@
         let needs = jobs[job].needs;
         let candidates = free
             .into_iter()
-            .filter(|upstream| upstream.has.covers(needs));
+            .filter(|upstream| upstream.resources.covers(needs));
         let candidates: Vec<Candidate> = candidates.map(|upstream| upstream.candidate).collect();
         let Some(chosen) = service.choice.choose(&candidates) else {
             return false;
@@ -73,7 +73,7 @@
     }
 
     fn free_upstreams(&self, service_key: ServiceKey) -> Vec<FreeUpstream> {
-        let Some(service) = self.plan.services.get(service_key) else {
+        let Some(service) = self.site.services.get(service_key) else {
             return Vec::new();
         };
         if service.queued_tasks == 0 {
@@ -82,16 +82,19 @@
         let unix_ms = self.unix_now_ms();
         let upstreams = service.upstreams.iter();
         let free = upstreams.filter_map(|key| {
-            let upstream = &self.plan.upstreams[*key];
+            let upstream = &self.site.upstreams[*key];
             let candidate = Candidate {
                 upstream: *key,
                 in_flight: upstream.in_flight,
                 slots: upstream.effective_slots,
                 recent_latency_us: upstream.latency.recent_us(),
             };
-            let has = upstream.has;
+            let resources = upstream.resources;
             let has_capacity = upstream.has_capacity(self.now, unix_ms);
-            has_capacity.then_some(FreeUpstream { candidate, has })
+            has_capacity.then_some(FreeUpstream {
+                candidate,
+                resources,
+            })
         });
         free.collect()
     }
@@ -102,16 +105,16 @@
         };
         let attempt = AttemptId(self.next_attempt);
         self.next_attempt += 1;
-        let service = &mut self.plan.services[service_key];
+        let service = &mut self.site.services[service_key];
         service.running += 1;
-        let upstream = &mut self.plan.upstreams[upstream_key];
+        let upstream = &mut self.site.upstreams[upstream_key];
         upstream.in_flight += 1;
         let job = &mut self.jobs[key];
         job.set_in_flight(index, TaskState::Running(attempt));
         let task = &job.tasks[index as usize];
         self.counts.attempts += 1;
-        if task.refused_attempts == 0 {
-            service.retries.on_first_attempt();
+        if task.not_started_attempts == 0 {
+            service.retry_budget.on_first_attempt();
         } else {
             self.counts.retries += 1;
         }
@@ -134,13 +137,13 @@
         self.attempts.insert(attempt, running);
     }
 
-    /// Takes a job's next waiting task out of the queue and gives its index.
+    /// Removes a job's next waiting task from the queue and returns its index.
     pub(crate) fn take_waiting(&mut self, key: JobKey) -> Option<u32> {
         let job = self.jobs.get_mut(key)?;
         let index = job.take_waiting()?;
-        let service = &mut self.plan.services[job.service];
+        let service = &mut self.site.services[job.service];
         service.queued_tasks -= 1;
-        let weight = self.plan.teams.get(job.team);
+        let weight = self.site.teams.get(job.team);
         let weight = weight.map_or(1, |team| team.settings.weight);
         let cost = service.estimate.reading(None).mean;
         service.queue.charge(job.team, weight, cost);
@@ -150,12 +153,12 @@
         Some(index)
     }
 
-    /// Takes in how an attempt ended.
-    pub(crate) fn end_attempt(&mut self, attempt: AttemptId, end: AttemptEnd) {
+    /// Handles the end of an attempt.
+    pub(crate) fn on_attempt_ended(&mut self, attempt: AttemptId, end: AttemptEnd) {
         let Some(running) = self.attempts.swap_remove(&attempt) else {
             return;
         };
-        self.record_end(&running, &end);
+        self.record_attempt_end(&running, &end);
         self.mark_dirty(running.service);
         let Some(job) = self.jobs.get(running.job) else {
             return;
@@ -167,27 +170,27 @@
         }
     }
 
-    /// Learns from the end of an attempt, whether or not its job still waits for it.
-    fn record_end(&mut self, running: &RunningAttempt, end: &AttemptEnd) {
+    /// Updates estimates, health and counters from an attempt's end, even when its job is over.
+    fn record_attempt_end(&mut self, running: &RunningAttempt, end: &AttemptEnd) {
         let took = self.now.since(running.started_at);
         let declared = self
             .jobs
             .get(running.job)
             .and_then(|job| job.declared_run_time);
-        if let Some(service) = self.plan.services.get_mut(running.service) {
+        if let Some(service) = self.site.services.get_mut(running.service) {
             service.running -= 1;
             if matches!(end, AttemptEnd::Finished { .. }) {
                 service.record_run(declared, took);
             }
         }
-        let Some(upstream) = self.plan.upstreams.get_mut(running.upstream) else {
+        let Some(upstream) = self.site.upstreams.get_mut(running.upstream) else {
             return;
         };
         upstream.in_flight -= 1;
         match end {
             AttemptEnd::Finished { .. } => {
                 self.counts.upstream_answers += 1;
-                // Its service is looked at again after every end, restored or not.
+                // The result is not needed: the service is dispatched again after every end.
                 let _ = upstream.health.on_success(self.now);
                 upstream.latency.record(took);
             }
@@ -213,18 +216,18 @@
         }
     }
 
-    /// Ends a task of an open job, or puts it back to be tried elsewhere.
+    /// Ends a task of an open job, or requeues it for another attempt.
     pub(crate) fn end_task(&mut self, key: JobKey, index: u32, end: AttemptEnd) {
         match end {
             AttemptEnd::Finished { body } => self.finish_task(key, index, body),
-            AttemptEnd::NotStarted(cause) => self.task_not_started(key, index, cause),
+            AttemptEnd::NotStarted(cause) => self.on_task_not_started(key, index, cause),
             AttemptEnd::TaskFailed { status } => {
                 let end = AttemptEnd::TaskFailed { status };
                 self.fail_task(key, index, end, FailReason::TaskFailed);
             }
             AttemptEnd::Unknown(cause) => {
-                if self.may_repeat(key) {
-                    return self.put_back(key, index);
+                if self.try_retry_unknown(key) {
+                    return self.requeue(key, index);
                 }
                 let end = AttemptEnd::Unknown(cause);
                 self.fail_task(key, index, end, FailReason::Unknown);
@@ -236,47 +239,49 @@
         let job = &mut self.jobs[key];
         job.finish_task(index, body);
         let (service, team, remaining) = (job.service, job.team, job.remaining());
-        if let Some(team) = self.plan.teams.get_mut(team) {
+        if let Some(team) = self.site.teams.get_mut(team) {
             team.quota.on_task_ended(1);
         }
-        self.plan.services[service].queue.update(key, remaining);
+        self.site.services[service].queue.update(key, remaining);
         if self.jobs[key].is_finished() {
             self.complete_job(key);
         }
     }
 
-    /// Whether a task with an unknown end may run again.
-    fn may_repeat(&mut self, key: JobKey) -> bool {
+    /// Takes a retry from the budget when a task whose outcome is unknown may run again.
+    ///
+    /// Only single requests of one idempotent task may, if the service allows it.
+    fn try_retry_unknown(&mut self, key: JobKey) -> bool {
         let job = &self.jobs[key];
         let single = match &job.origin {
             JobOrigin::Callers { address, .. } => *address == JobAddress::Single,
             JobOrigin::Batch { .. } => false,
         };
-        let service = &mut self.plan.services[job.service];
+        let service = &mut self.site.services[job.service];
         let allowed = job.idempotent && single && job.tasks.len() == 1;
-        allowed && service.settings.retry_unknown && service.retries.try_retry()
+        allowed && service.settings.retry_unknown && service.retry_budget.try_retry()
     }
 
-    fn task_not_started(&mut self, key: JobKey, index: u32, cause: NotStartedCause) {
+    fn on_task_not_started(&mut self, key: JobKey, index: u32, cause: NotStartedCause) {
         let job = &self.jobs[key];
-        let refused = job.tasks[index as usize].refused_attempts;
-        let retries = &mut self.plan.services[job.service].retries;
+        let refused = job.tasks[index as usize].not_started_attempts;
+        let retries = &mut self.site.services[job.service].retry_budget;
         let again = match cause {
             _ if self.now >= job.deadline => false,
-            // The guard's pause bounds how often a full upstream is asked.
+            // The pause after a refusal limits the rate of attempts at a full upstream.
             NotStartedCause::Refused => true,
             NotStartedCause::NotSent => refused < MAX_UNSENT_ATTEMPTS && retries.try_retry(),
             NotStartedCause::PastDeadline => false,
         };
         if again {
-            return self.put_back(key, index);
+            return self.requeue(key, index);
         }
-        self.give_task_up(key, index, cause);
+        self.abandon_task(key, index, cause);
     }
 
-    fn give_task_up(&mut self, key: JobKey, index: u32, cause: NotStartedCause) {
+    fn abandon_task(&mut self, key: JobKey, index: u32, cause: NotStartedCause) {
         let job = &mut self.jobs[key];
-        job.put_back(index);
+        job.requeue(index);
         let (not_run, failed) = match cause {
             NotStartedCause::PastDeadline => {
                 (NotRunReason::DeadlinePassed, FailReason::DeadlinePassed)
@@ -297,19 +302,19 @@
             }
             return;
         }
-        let queued = &mut self.plan.services[job.service].queued_tasks;
+        let queued = &mut self.site.services[job.service].queued_tasks;
         *queued += 1;
-        self.end_unfinished(key, not_run, failed, Some(RETRY_SOON));
+        self.end_unfinished_job(key, not_run, failed, Some(DEFAULT_RETRY_AFTER));
     }
 
-    /// Puts a task in flight back in the queue.
-    pub(crate) fn put_back(&mut self, key: JobKey, index: u32) {
+    /// Puts a task in flight back into the queue.
+    pub(crate) fn requeue(&mut self, key: JobKey, index: u32) {
         let job = &mut self.jobs[key];
         let was_waiting = !job.waiting.is_empty();
-        job.put_back(index);
+        job.requeue(index);
         let service_key = job.service;
         if was_waiting {
-            self.plan.services[service_key].queued_tasks += 1;
+            self.site.services[service_key].queued_tasks += 1;
             self.mark_dirty(service_key);
             return;
         }
@@ -334,8 +339,9 @@
         self.end_job(key, answer);
     }
 
-    /// Counts a failed task against its upstream, once a job: a job that no upstream can run
-    /// must not look like as many failures as it has tasks.
+    /// Counts a failed task against its upstream, at most once per job.
+    ///
+    /// Otherwise a job that fails on any upstream would count as one failure per task.
     fn record_task_failure(&mut self, running: &RunningAttempt) {
         let job = self.jobs.get(running.job);
         if job.is_some_and(|job| job.stage == JobStage::Open) {
@@ -343,16 +349,16 @@
         }
     }
 
-    /// Counts a failure against an upstream, and looks again when it may be tried.
+    /// Counts a failure against an upstream and schedules a dispatch for when it may be used again.
     fn record_failure(&mut self, running: &RunningAttempt) {
-        if !self.plan.policies().eject_failing {
+        if !self.site.policies().eject_failing {
             return;
         }
-        let upstream = &mut self.plan.upstreams[running.upstream];
+        let upstream = &mut self.site.upstreams[running.upstream];
         if upstream.health.on_failure(self.now) == HealthChange::Ejected {
-            self.plan.review_ejections(self.now, running.service);
+            self.site.review_ejections(self.now, running.service);
         }
-        let upstream = &self.plan.upstreams[running.upstream];
+        let upstream = &self.site.upstreams[running.upstream];
         if let Some(retry_at) = upstream.health.next_change(self.now) {
             let timer = Timer::Dispatch(running.service);
             self.timers.subscribe(retry_at, timer);
--- a/lib/src/submission.rs
+++ b/lib/src/submission.rs
@@ -1,4 +1,4 @@
-//! What a caller submits.
+//! Submissions of jobs by callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 use almondhead_macros::value;
 use bytes::Bytes;
 
-/// A job as submitted: some tasks of one service that are answered together.
+/// A job as submitted: tasks of one service that are answered together.
 #[value]
 pub struct Submission {
     /// The name of the service.
     pub service: Arc<str>,
     /// The name of the team that submits.
     pub team: Arc<str>,
-    /// The time from arrival to the latest useful answer; the service's default when absent.
+    /// The time from arrival to the deadline; the service's default if `None`.
     pub timeout: Option<Duration>,
-    /// Whether the tasks may run again after an unknown end.
+    /// Whether a task may run again when its outcome is unknown.
     pub idempotent: bool,
-    /// What each task needs of its upstream.
+    /// The resources that each task needs on its upstream.
     pub needs: Needs,
-    /// The run time that the caller declares for one task.
+    /// The run time of one task as declared by the caller.
     pub declared_run_time: Option<Duration>,
     /// The input of each task.
     pub inputs: Vec<Bytes>,
@@ -28,11 +28,11 @@
     pub traceparent: Option<Arc<str>>,
 }
 
-/// What one task needs of its upstream.
+/// The resources that a task needs on its upstream, or that an upstream has.
 #[key]
 #[derive(Default)]
 pub struct Needs {
-    /// Processors.
+    /// Processor cores.
     pub cores: u32,
     /// Memory in mebibytes.
     pub memory_mib: u32,
@@ -41,7 +41,7 @@
 }
 
 impl Needs {
-    /// Whether equipment of this size meets `needs`.
+    /// Whether these resources are sufficient for `needs`.
     pub fn covers(self, needs: Needs) -> bool {
         self.cores >= needs.cores
             && self.memory_mib >= needs.memory_mib
--- a/lib/src/submitting.rs
+++ b/lib/src/submitting.rs
@@ -1,4 +1,4 @@
-//! Taking in jobs: where they belong, and whether they may run.
+//! Submission of jobs: joining a known job, forwarding to its home, or opening a new one.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 use crate::job::Task;
 use crate::job::TaskState;
 use crate::job::Waiter;
-use crate::key_table::KeyName;
+use crate::key_table::IdempotencyKey;
 use crate::key_table::KeyState;
 use crate::keys::JobKey;
 use crate::outcome::FailReason;
@@ -31,11 +31,11 @@
 use crate::submission::Submission;
 use crate::time::Timestamp;
 
-/// When to come back where nothing better is known.
-pub(crate) const RETRY_SOON: Duration = Duration::from_secs(1);
+/// When a caller should retry if no better estimate is available.
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Dispatcher {
-    /// Takes a submission from a caller or, at its home, from a sibling.
+    /// Handles a submission from a caller or, at the job's home, one that a sibling forwarded.
     pub(crate) fn submit(
         &mut self,
         waiter: Waiter,
@@ -48,7 +48,7 @@
                 self.submit_in_session(waiter, session, *number, submission);
             }
             JobAddress::Key { team, key } => {
-                let name = KeyName {
+                let name = IdempotencyKey {
                     team: team.clone(),
                     key: key.clone(),
                 };
@@ -85,13 +85,13 @@
         &mut self,
         waiter: Waiter,
         address: &JobAddress,
-        name: &KeyName,
+        name: &IdempotencyKey,
         submission: &Arc<Submission>,
     ) {
         let forwarded = matches!(waiter, Waiter::Sibling { .. });
-        match self.keys.state(name) {
+        match self.idempotency_keys.state(name) {
             KeyState::Job(job) => self.join(waiter, job, Some(fingerprint(submission))),
-            KeyState::OwnedNotRun => self.open_job(waiter, address, submission, JobStage::Open),
+            KeyState::ClaimedNotRun => self.open_job(waiter, address, submission, JobStage::Open),
             KeyState::Unknown if forwarded => {
                 self.answer_failed(waiter, FailReason::AnswerExpired, None);
             }
@@ -101,9 +101,9 @@
         }
     }
 
-    /// Adds a waiter to a job, or answers it when the job has ended.
+    /// Adds a waiter to a job, or answers it at once when the job has ended.
     ///
-    /// A `fingerprint` other than the job's is refused.
+    /// A `fingerprint` that differs from the job's is refused as a reused address.
     pub(crate) fn join(&mut self, waiter: Waiter, key: JobKey, fingerprint: Option<u64>) {
         let Some(job) = self.jobs.get_mut(key) else {
             return self.answer_failed(waiter, FailReason::AnswerExpired, None);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Opens a job when every check passes, else answers that nothing ran.
+    /// Opens a job when every check passes; otherwise answers that it was not run.
     fn open_job(
         &mut self,
         waiter: Waiter,
@@ -152,7 +152,7 @@
                 },
                 input: input.clone(),
                 state: TaskState::Waiting,
-                refused_attempts: 0,
+                not_started_attempts: 0,
             });
         let tasks: Vec<Task> = tasks.collect();
         let origin = JobOrigin::Callers {
@@ -161,7 +161,7 @@
         };
         let key = self.insert_job(origin, tasks, &accepted, submission, stage);
         self.join(waiter, key, None);
-        self.remember_address(address, key);
+        self.record_address(address, key);
         if stage == JobStage::Claiming {
             self.claim(key, address);
         } else {
@@ -204,7 +204,9 @@
         key
     }
 
-    /// Opens the part of a sibling's job that a batch holds.
+    /// Opens a job for the tasks of a batch, which are part of a sibling's job.
+    ///
+    /// Returns `None` when the document has no such service or team.
     pub(crate) fn insert_batch_job(
         &mut self,
         origin: JobOrigin,
@@ -212,8 +214,8 @@
         submission: &Submission,
         remaining: u32,
     ) -> Option<JobKey> {
-        let service = self.plan.service(&submission.service)?;
-        let team = self.plan.team(&submission.team)?;
+        let service = self.site.service(&submission.service)?;
+        let team = self.site.team(&submission.team)?;
         let accepted = Accepted {
             service,
             team,
@@ -226,7 +228,7 @@
         Some(key)
     }
 
-    fn remember_address(&mut self, address: &JobAddress, key: JobKey) {
+    fn record_address(&mut self, address: &JobAddress, key: JobKey) {
         match address {
             JobAddress::Single => {}
             JobAddress::Session { session, number } => {
@@ -234,23 +236,23 @@
                 self.sessions.set(session.number, *number, state);
             }
             JobAddress::Key { team, key: name } => {
-                let name = KeyName {
+                let name = IdempotencyKey {
                     team: team.clone(),
                     key: name.clone(),
                 };
-                if let KeyState::Unresolved { first_claim } = self.keys.state(&name) {
+                if let KeyState::Unresolved { first_claim } = self.idempotency_keys.state(&name) {
                     self.jobs[key].first_claim = Some(first_claim);
                 }
                 let never = Timestamp::from_us(u64::MAX);
-                self.keys.set(name, KeyState::Job(key), never);
+                self.idempotency_keys.set(name, KeyState::Job(key), never);
             }
         }
     }
 
-    /// Puts an open job in its service's queue.
+    /// Inserts an open job into its service's queue.
     pub(crate) fn enqueue(&mut self, key: JobKey) {
         let job = &self.jobs[key];
-        let weight = self.plan.teams.get(job.team);
+        let weight = self.site.teams.get(job.team);
         let entry = QueueEntry {
             job: key,
             team: job.team,
@@ -260,13 +262,13 @@
         };
         let waiting = u32::try_from(job.waiting.len()).unwrap_or(u32::MAX);
         let service_key = job.service;
-        let service = &mut self.plan.services[service_key];
+        let service = &mut self.site.services[service_key];
         service.queue.insert(self.now, entry);
         service.queued_tasks += waiting;
         self.mark_dirty(service_key);
     }
 
-    /// Answers a waiter that nothing of its job ran.
+    /// Answers a waiter that no task of its job was run.
     pub(crate) fn answer_not_run(
         &mut self,
         waiter: Waiter,
@@ -280,7 +282,7 @@
         self.answer(waiter, Arc::new(answer));
     }
 
-    /// Answers a waiter that something of its job ran or may have run.
+    /// Answers a waiter that its job failed after some task was run or may have been run.
     pub(crate) fn answer_failed(
         &mut self,
         waiter: Waiter,
@@ -295,7 +297,7 @@
         self.answer(waiter, Arc::new(answer));
     }
 
-    /// Gives a waiter its answer.
+    /// Sends a waiter its answer.
     pub(crate) fn answer(&mut self, waiter: Waiter, answer: Arc<JobAnswer>) {
         match waiter {
             Waiter::Request(request) => {
@@ -310,7 +312,7 @@
     }
 }
 
-/// A fingerprint of what a submission asks to run.
+/// A hash of the service, the team and the inputs of a submission.
 fn fingerprint(submission: &Submission) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(submission.service.as_bytes());
--- a/lib/src/upstream_state.rs
+++ b/lib/src/upstream_state.rs
@@ -1,4 +1,4 @@
-//! One upstream as this entry instance sees it.
+//! The state of an upstream at this entry instance.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +11,14 @@
 use crate::target::UpstreamTarget;
 use crate::time::Timestamp;
 
-/// How long before a named time an upstream counts as leaving, for the clocks' error.
+/// How long before its time of leaving an upstream or instance counts as leaving, as a margin for
+/// clock error.
 pub(crate) const CLOCK_MARGIN_MS: u64 = 1_000;
 
-/// How long an upstream is left alone after its guard refused a task.
+/// How long no task is sent to an upstream after it refused one at its concurrency limit.
 const REFUSAL_PAUSE: Duration = Duration::from_millis(20);
 
-/// One upstream: what the document says, and what was seen of it.
+/// An upstream: its settings in the document, its load, latency and health.
 #[derive(Debug)]
 pub(crate) struct UpstreamState {
     pub(crate) name: Arc<str>,
@@ -25,42 +26,42 @@
     pub(crate) service: ServiceKey,
     pub(crate) target: Arc<UpstreamTarget>,
     pub(crate) slots: u32,
-    pub(crate) has: Needs,
+    pub(crate) resources: Needs,
     pub(crate) leaves_at_unix_ms: Option<u64>,
-    /// Whether the platform's list says that it is leaving.
+    /// Whether the platform lists it as leaving.
     pub(crate) listed_leaving: bool,
-    /// Whether the document still names it.
+    /// Whether the installed document lists it.
     pub(crate) present: bool,
     /// Whether this entry instance sends tasks to it.
-    pub(crate) ours: bool,
+    pub(crate) assigned: bool,
     pub(crate) in_flight: u32,
     pub(crate) latency: UpstreamLatency,
-    /// The slots that are used, fewer than all when it is slower than its peers.
+    /// The slots to use: fewer than `slots` when it is slower than others of its service.
     pub(crate) effective_slots: u32,
     pub(crate) health: UpstreamHealth,
-    /// Until when it is left alone after a refusal.
+    /// No task is sent to it before this time, after a refusal.
     pub(crate) paused_until: Timestamp,
 }
 
 impl UpstreamState {
-    /// Whether it is in use by this entry instance at all.
+    /// Whether this entry instance sends tasks to it, apart from health and load.
     pub(crate) fn is_in_use(&self, unix_ms: u64) -> bool {
-        self.present && self.ours && !self.is_leaving(unix_ms)
+        self.present && self.assigned && !self.is_leaving(unix_ms)
     }
 
-    /// Whether it leaves now, by the document's time or the platform's list.
+    /// Whether it is leaving, by the time in the document or the platform's list.
     pub(crate) fn is_leaving(&self, unix_ms: u64) -> bool {
         let leaves_at = self.leaves_at_unix_ms.unwrap_or(u64::MAX);
         self.listed_leaving || unix_ms.saturating_add(CLOCK_MARGIN_MS) >= leaves_at
     }
 
-    /// Whether it is in use and not ejected for failing.
-    pub(crate) fn runs_tasks(&self, now: Timestamp, unix_ms: u64) -> bool {
+    /// Whether it is in use and not ejected.
+    pub(crate) fn is_usable(&self, now: Timestamp, unix_ms: u64) -> bool {
         let ejected = matches!(self.health.state(now), HealthState::Ejected { .. });
         self.is_in_use(unix_ms) && !ejected
     }
 
-    /// Whether one more task may start now.
+    /// Whether another task may be started on it now.
     pub(crate) fn has_capacity(&self, now: Timestamp, unix_ms: u64) -> bool {
         self.is_in_use(unix_ms)
             && self.in_flight < self.effective_slots
@@ -68,12 +69,12 @@
             && self.health.may_start(now, self.in_flight)
     }
 
-    /// Whether its equipment meets the needs.
-    pub(crate) fn meets(&self, needs: Needs) -> bool {
-        self.has.covers(needs)
+    /// Whether its resources are sufficient for the needs.
+    pub(crate) fn has_resources_for(&self, needs: Needs) -> bool {
+        self.resources.covers(needs)
     }
 
-    /// Leaves it alone for a moment after its guard refused a task.
+    /// Sends it no tasks for a short time after it refused one.
     pub(crate) fn pause(&mut self, now: Timestamp) {
         self.paused_until = now + REFUSAL_PAUSE;
     }
