--- a/lib/src/forwarding.rs
+++ b/lib/src/forwarding.rs
@@ -21,7 +21,7 @@
 /// How often the contact with a home is checked while a forwarded request is unanswered.
 const FORWARD_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long no message may arrive from a home before it is reported to callers as unreachable.
+/// The time without a message from a home after which it is reported to callers as unreachable.
 const HOME_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -17,7 +17,7 @@
 use crate::replay_window::ReplayWindow;
 use crate::time::Timestamp;
 
-/// How long no message may arrive from a sibling before no work is forwarded to it.
+/// The time without a message from a sibling after which no work is forwarded to it.
 pub(crate) const SIBLING_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The number of latest message numbers that are remembered per incarnation of a sibling.
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -341,7 +341,7 @@
 
     /// Counts a failed task against its upstream, at most once per job.
     ///
-    /// Otherwise a job that fails on any upstream would count as one failure per task.
+    /// Otherwise a job that fails on every upstream would count one failure per task.
     fn record_task_failure(&mut self, running: &RunningAttempt) {
         let job = self.jobs.get(running.job);
         if job.is_some_and(|job| job.stage == JobStage::Open) {
--- a/lib/tests/borrowed_slots.rs
+++ b/lib/tests/borrowed_slots.rs
@@ -1,4 +1,4 @@
-//! An entry instance without upstreams of its own runs its jobs at siblings, also busy ones.
+//! An entry instance without upstreams of its own runs its jobs at siblings, even at busy ones.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const WEST: usize = 2;
 
 #[test]
-fn busy_siblings() {
+fn jobs_run_at_busy_siblings() {
     let mut fakes = CoreFakes::new();
     let all_east = DOCUMENT.replace(
         r#""u3", "data_centre": "west""#,
--- a/lib/tests/failing_job.rs
+++ b/lib/tests/failing_job.rs
@@ -1,4 +1,4 @@
-//! A job that fails wherever it runs does not take an upstream out of use.
+//! A job that fails on every upstream does not get an upstream ejected.
 
 use std::sync::Arc;
 
@@ -11,15 +11,15 @@
 
 const WEST: usize = 2;
 
-/// Gives the west four upstreams of eight slots.
+/// Installs a document with four upstreams in the west, of eight slots each.
 fn install_four(fakes: &mut CoreFakes) {
     let parsed = almondhead_lib::check::check_document(DOCUMENT);
     let mut document = parsed.expect("a valid document");
-    let model = document.upstreams[2].clone();
+    let template = document.upstreams[2].clone();
     let copies = (0..4).map(|index| Upstream {
         name: format!("w{index}"),
         slots: 8,
-        ..model.clone()
+        ..template.clone()
     });
     document.upstreams = copies.collect();
     let installed = Event::DocumentInstalled {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn counted_once() {
+fn failed_job_counts_once_against_its_upstream() {
     let mut fakes = CoreFakes::new();
     install_four(&mut fakes);
     let job = fakes.submit_in_session(WEST, 16);
@@ -45,7 +45,7 @@
         fakes.end_attempt(index, UpstreamEnd::Fail);
         failed += 1;
     }
-    assert_eq!(failed, 4, "a quarter of the job ran there");
+    assert_eq!(failed, 4, "a quarter of the tasks ran there");
     assert_eq!(fakes.jobs[job].failed_answers, 1);
     assert_eq!(fakes.dispatchers[WEST].status().ejected_upstreams, 0);
 }
--- a/lib/tests/home_rules.rs
+++ b/lib/tests/home_rules.rs
@@ -1,4 +1,4 @@
-//! A job belongs to one incarnation: what its home answers, and others for it.
+//! A job belongs to one incarnation, its home: answers of the home and of other instances.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 const HOME: usize = 0;
 const OTHER: usize = 1;
 
-/// Ends every attempt that was started, until none is left.
+/// Finishes attempts until none is left.
 fn finish_all(fakes: &mut CoreFakes) {
     while !fakes.attempts.is_empty() {
         fakes.end_attempt(0, UpstreamEnd::Finish);
@@ -21,14 +21,14 @@
     }
 }
 
-fn not_run(answer: &JobAnswer) -> Option<NotRunReason> {
+fn not_run_reason(answer: &JobAnswer) -> Option<NotRunReason> {
     match answer {
         JobAnswer::NotRun { reason, .. } => Some(*reason),
         _ => None,
     }
 }
 
-fn failed(answer: &JobAnswer) -> Option<FailReason> {
+fn fail_reason(answer: &JobAnswer) -> Option<FailReason> {
     match answer {
         JobAnswer::Failed { reason, .. } => Some(*reason),
         _ => None,
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn joined_while_running() {
+fn resubmission_joins_running_job() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 2);
     fakes.submit_again(job, HOME);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn kept_answer() {
+fn kept_answer_is_returned_again() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     finish_all(&mut fakes);
@@ -60,19 +60,19 @@
 }
 
 #[test]
-fn expired_answer() {
+fn expired_answer_fails_resubmission() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     finish_all(&mut fakes);
     fakes.advance(Duration::from_secs(61));
     fakes.submit_again(job, HOME);
     let answer = fakes.last_answer(job);
-    assert_eq!(failed(&answer), Some(FailReason::AnswerExpired));
+    assert_eq!(fail_reason(&answer), Some(FailReason::AnswerExpired));
     assert_eq!(fakes.attempts.len(), 0);
 }
 
 #[test]
-fn restarted_home() {
+fn jobs_of_restarted_home_fail() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     fakes.restart(HOME);
@@ -81,13 +81,13 @@
         fakes.submit_again(job, instance);
         fakes.deliver_all();
         let answer = fakes.last_answer(job);
-        assert_eq!(failed(&answer), Some(FailReason::HomeGone));
+        assert_eq!(fail_reason(&answer), Some(FailReason::HomeGone));
     }
-    assert_eq!(fakes.attempts.len(), 1, "only the first start");
+    assert_eq!(fakes.attempts.len(), 1, "no task starts after the restart");
 }
 
 #[test]
-fn silent_home() {
+fn unreachable_home_fails_with_retry_after() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     fakes.submit_again(job, OTHER);
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn other_content() {
+fn other_content_at_same_address_is_refused() {
     let mut fakes = CoreFakes::new();
     let first = fakes.submit_in_session(HOME, 1);
     let second = fakes.submit_in_session(HOME, 2);
     fakes.jobs[second].address = fakes.jobs[first].address.clone();
     fakes.submit_again(second, HOME);
     let answer = fakes.last_answer(second);
-    assert_eq!(failed(&answer), Some(FailReason::AddressReused));
+    assert_eq!(fail_reason(&answer), Some(FailReason::AddressReused));
 }
 
 #[test]
-fn old_number() {
+fn number_below_window_is_expired() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     let JobAddress::Session { session, .. } = fakes.jobs[job].address.clone() else {
@@ -136,25 +136,25 @@
     fakes.submit_again(late, HOME);
     fakes.submit_again(job, HOME);
     let answer = fakes.last_answer(job);
-    assert_eq!(failed(&answer), Some(FailReason::AnswerExpired));
+    assert_eq!(fail_reason(&answer), Some(FailReason::AnswerExpired));
 }
 
 #[test]
-fn cancelled_first() {
+fn cancelled_job_stays_cancelled() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 300);
     fakes.cancel(job, OTHER);
     fakes.deliver_all();
     let answer = fakes.last_answer(job);
-    assert_eq!(failed(&answer), Some(FailReason::Cancelled));
+    assert_eq!(fail_reason(&answer), Some(FailReason::Cancelled));
     fakes.submit_again(job, OTHER);
     fakes.deliver_all();
     let answer = fakes.last_answer(job);
-    assert_eq!(failed(&answer), Some(FailReason::Cancelled));
+    assert_eq!(fail_reason(&answer), Some(FailReason::Cancelled));
 }
 
 #[test]
-fn claimed_twice() {
+fn concurrent_claims_run_job_once() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_by_key(HOME, 2);
     fakes.submit_again(job, OTHER);
@@ -168,12 +168,15 @@
 }
 
 #[test]
-fn lost_claim() {
+fn lost_claim_answer_is_resolved_by_resubmission() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_by_key(HOME, 1);
     fakes.end_claim(0, TableEnd::ApplyAndLose);
     let answer = fakes.last_answer(job);
-    assert_eq!(not_run(&answer), Some(NotRunReason::ClaimUnavailable));
+    assert_eq!(
+        not_run_reason(&answer),
+        Some(NotRunReason::ClaimUnavailable)
+    );
     fakes.submit_again(job, HOME);
     fakes.end_claim(0, TableEnd::Answer);
     finish_all(&mut fakes);
@@ -182,7 +185,7 @@
 }
 
 #[test]
-fn key_of_dead_home() {
+fn key_claimed_by_ended_home_fails() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_by_key(HOME, 1);
     fakes.end_claim(0, TableEnd::Answer);
@@ -193,7 +196,7 @@
         fakes.end_claim(0, TableEnd::Answer);
         fakes.deliver_all();
         let answer = fakes.last_answer(job);
-        assert_eq!(failed(&answer), Some(FailReason::HomeGone));
+        assert_eq!(fail_reason(&answer), Some(FailReason::HomeGone));
     }
-    assert_eq!(fakes.attempts.len(), 1, "only the first start");
+    assert_eq!(fakes.attempts.len(), 1, "no task starts after the restart");
 }
--- a/lib/tests/job_promises.rs
+++ b/lib/tests/job_promises.rs
@@ -1,4 +1,4 @@
-//! Random sequences of events with losses, duplicates, pauses and restarts keep the promises.
+//! Guarantees for jobs under random events with lost and duplicate messages, delays and restarts.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 const CASES: u64 = 4_000;
 const STEPS: usize = 200;
 
-/// Longer than answers are kept.
-const KEPT_ANSWERS: Duration = Duration::from_secs(61);
+/// A time after which no answer is kept any more.
+const AFTER_RETENTION: Duration = Duration::from_secs(61);
 
-/// One step, its choices taken modulo what there is.
+/// A random step; its choices are taken modulo the number of options.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     kind: u8,
@@ -39,7 +39,7 @@
     (!items.is_empty()).then(|| usize::from(step.pick) % items.len())
 }
 
-fn take(fakes: &mut CoreFakes, step: Step) {
+fn apply_step(fakes: &mut CoreFakes, step: Step) {
     let instance = usize::from(step.instance) % fakes.dispatchers.len();
     let tasks = 1 + usize::from(step.pick) % 12;
     let message = pick(&fakes.messages, step);
@@ -64,16 +64,16 @@
         (29, ..) => fakes.advance(Duration::from_millis(u64::from(step.pick) % 3_000)),
         (30, ..) => fakes.advance(Duration::from_millis(u64::from(step.pick) % 200)),
         (31, ..) if step.pick.is_multiple_of(4) => fakes.restart(instance),
-        (31, ..) if step.pick.is_multiple_of(3) => fakes.advance(KEPT_ANSWERS),
+        (31, ..) if step.pick.is_multiple_of(3) => fakes.advance(AFTER_RETENTION),
         (31, ..) => fakes.skip_numbers(instance, u64::from(step.pick) % 16),
         _ => {}
     }
 }
 
-fn promises_hold(steps: Vec<Step>) -> TestResult {
+fn guarantees_hold(steps: Vec<Step>) -> TestResult {
     let mut fakes = CoreFakes::new();
     for step in steps {
-        take(&mut fakes, step);
+        apply_step(&mut fakes, step);
         let broken = fakes.broken_promises();
         if !broken.is_empty() {
             return TestResult::error(broken);
@@ -83,23 +83,23 @@
 }
 
 #[test]
-fn random_events() {
+fn random_events_keep_guarantees() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(STEPS, SEED))
         .tests(CASES)
-        .quickcheck(promises_hold as fn(Vec<Step>) -> TestResult);
+        .quickcheck(guarantees_hold as fn(Vec<Step>) -> TestResult);
 }
 
-/// The random events reach what they are meant to break.
+/// Checks that the random events cause all kinds of messages and answers.
 #[test]
-fn random_coverage() {
+fn random_events_cover_all_messages() {
     let mut g = Gen::from_size_and_seed(STEPS, SEED);
     let mut counts = Vec::new();
     let mut answers = [0; 3];
     for _ in 0..100 {
         let mut fakes = CoreFakes::new();
         for step in Vec::<Step>::arbitrary(&mut g) {
-            take(&mut fakes, step);
+            apply_step(&mut fakes, step);
         }
         counts.extend(fakes.dispatchers.iter().map(|d| d.status().messages));
         for job in &fakes.jobs {
@@ -117,9 +117,9 @@
     assert!(answers.iter().all(|count| *count > 0), "{answers:?}");
 }
 
-/// Without faults, every job submitted through any instance is answered whole.
+/// Without faults, every job is completed, whichever instances it is submitted to.
 #[test]
-fn no_faults() {
+fn jobs_complete_without_faults() {
     let mut fakes = CoreFakes::new();
     for instance in 0..3 {
         fakes.submit_in_session(instance, 20);
--- a/lib/tests/leaving_upstream.rs
+++ b/lib/tests/leaving_upstream.rs
@@ -1,4 +1,4 @@
-//! Upstreams and instances that leave get no new work, and lose none.
+//! Leaving upstreams and instances get no new work and finish what they have.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn by_document() {
+fn upstream_leaves_at_document_time() {
     let mut fakes = CoreFakes::new();
     fakes.install(WEST, 2, &leaving_document());
     let unix_ms = LEAVES_AT_UNIX_MS - 3_000;
@@ -39,11 +39,14 @@
     fakes.submit_in_session(WEST, 1);
     assert_eq!(attempts_at_u3(&fakes), 1, "no new task after it left");
     fakes.end_attempt(0, UpstreamEnd::Finish);
-    assert_eq!(fakes.jobs[0].complete_answers, 1, "what ran was not cut");
+    assert_eq!(
+        fakes.jobs[0].complete_answers, 1,
+        "the running task finished"
+    );
 }
 
 #[test]
-fn by_list() {
+fn upstream_leaves_when_listed() {
     let mut fakes = CoreFakes::new();
     let leaving = Membership {
         leaving_upstreams: vec![Arc::from("u3")],
@@ -51,12 +54,12 @@
     };
     fakes.handle(WEST, Event::MembershipChanged(leaving));
     fakes.submit_in_session(WEST, 1);
-    assert_eq!(fakes.attempts.len(), 1, "another upstream takes it");
+    assert_eq!(fakes.attempts.len(), 1, "another upstream runs it");
     assert_eq!(attempts_at_u3(&fakes), 0);
 }
 
 #[test]
-fn older_revision() {
+fn older_revision_is_ignored() {
     let mut fakes = CoreFakes::new();
     fakes.install(WEST, 3, &leaving_document());
     fakes.install(WEST, 2, DOCUMENT);
@@ -67,19 +70,19 @@
     assert_eq!(
         revisions.collect::<Vec<u64>>(),
         [3, 3, 3],
-        "siblings follow"
+        "siblings install the newest revision"
     );
 }
 
 #[test]
-fn stopping_instance() {
+fn stopping_instance_finishes_open_jobs() {
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(WEST, 6);
     fakes.handle(WEST, Event::StopRequested);
     assert!(!fakes.dispatchers[WEST].is_idle());
     fakes.submit_by_key(WEST, 1);
     let JobAnswer::NotRun { reason, .. } = fakes.last_answer(1) else {
-        panic!("a new job was taken");
+        panic!("a new job was accepted");
     };
     assert_eq!(reason, NotRunReason::Leaving);
     for _ in 0..20 {
--- a/lib/tests/owner_assignment.rs
+++ b/lib/tests/owner_assignment.rs
@@ -1,4 +1,4 @@
-//! Ownership of upstreams by entry instances.
+//! Assignment of upstreams to entry instances.
 
 use almondhead_lib::ownership::OwnedUpstream;
 use almondhead_lib::ownership::assign_owners;
@@ -28,7 +28,7 @@
     moved.count() as f64 / before.len() as f64
 }
 
-/// Slots owned by each instance.
+/// The slots owned by each instance.
 fn owned_slots(upstreams: &[OwnedUpstream<'_>], owners: &[usize], instances: usize) -> Vec<u32> {
     let mut slots = vec![0; instances];
     for (upstream, owner) in upstreams.iter().zip(owners) {
@@ -89,10 +89,10 @@
 }
 
 #[test]
-fn few_upstreams_change_hands() {
-    // Upstreams, instances, and the share that may move when one joins or leaves.
+fn few_upstreams_change_owner() {
+    // Upstreams, instances, and the maximum share that changes owner when an instance joins.
     let cases = [(12, 2, 0.5), (50, 6, 0.3), (50, 7, 0.3), (350, 20, 0.15)];
-    for (upstream_count, instance_count, most) in cases {
+    for (upstream_count, instance_count, max_share) in cases {
         for site in 0..20 {
             let upstreams = names(&format!("upstream-{site}"), upstream_count);
             let instances = names(&format!("entry-{site}"), instance_count + 1);
@@ -100,7 +100,10 @@
             let before = assign_owners(&upstreams, &refs(&instances[..instance_count]));
             let after = assign_owners(&upstreams, &refs(&instances));
             let share = moved_share(&before, &after);
-            assert!(share <= most, "{upstream_count}, {instance_count}: {share}");
+            assert!(
+                share <= max_share,
+                "{upstream_count}, {instance_count}: {share}"
+            );
         }
     }
 }
--- a/lib/tests/policy_switch.rs
+++ b/lib/tests/policy_switch.rs
@@ -1,4 +1,4 @@
-//! A document that changes the order of the queue is in force for jobs that wait already.
+//! A document that changes the queue policy also applies to jobs that are already waiting.
 
 use almondhead_testsupport::core_fakes::CoreFakes;
 use almondhead_testsupport::core_fakes::DOCUMENT;
@@ -7,7 +7,7 @@
 const WEST: usize = 2;
 
 #[test]
-fn waiting_jobs() {
+fn waiting_jobs_are_reordered() {
     let mut fakes = CoreFakes::new();
     let policies = |queue: &str| {
         let text = format!(r#""policies": {{ "forward_overflow": false, "queue": "{queue}", "#);
--- a/lib/tests/random_faults.rs
+++ b/lib/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random faults on a whole site of leased runs, a few at a time; seeds are fixed.
+//! Random faults, two at a time, on a simulated site of leased runs; the seeds are fixed.
 
 use almondhead_testsupport::run_site::OrderFault;
 use almondhead_testsupport::run_site::RunSite;
@@ -6,12 +6,13 @@
 use almondhead_testsupport::run_site::UpstreamFault;
 use almondhead_testsupport::run_site::run_job;
 
-/// The seeds played in CI; `RANDOM_FAULTS_SEEDS=1000..1200` plays others.
+/// The seeds run in CI; `RANDOM_FAULTS_SEEDS=1000..1200` runs others.
 ///
-/// 1 and 2 once failed: an upstream's new life was taken to have lost a start that had reached it.
+/// Seeds 1 and 2 failed when a start that had reached the new incarnation of a restarted upstream
+/// was considered lost with the old one.
 const SEEDS: std::ops::Range<u64> = 1..21;
 
-/// The time between two changes of faults, in milliseconds.
+/// The interval between changes of faults, in milliseconds.
 const FAULT_GAP_MS: u64 = 700;
 
 #[derive(Clone, Copy, Debug)]
@@ -39,7 +40,7 @@
     Fault::Leave,
 ];
 
-fn begin(site: &mut RunSite, fault: Fault) -> usize {
+fn begin_fault(site: &mut RunSite, fault: Fault) -> usize {
     let node = site.chance(site.nodes() as u64) as usize;
     let upstream = site.chance(site.upstreams() as u64) as usize;
     match fault {
@@ -69,25 +70,25 @@
     node
 }
 
-fn end(site: &mut RunSite, fault: Fault, what: usize) {
+fn end_fault(site: &mut RunSite, fault: Fault, target: usize) {
     match fault {
-        Fault::Kill => site.start_node(what),
-        Fault::Freeze => site.thaw(what),
-        Fault::CutPair => site.cut(what, (what + 1) % site.nodes(), false),
-        Fault::CutStore => site.cut_from_store(what, false),
+        Fault::Kill => site.start_node(target),
+        Fault::Freeze => site.thaw(target),
+        Fault::CutPair => site.cut(target, (target + 1) % site.nodes(), false),
+        Fault::CutStore => site.cut_from_store(target, false),
         Fault::StoreDown => site.set_store_down(false),
         Fault::Orders => site.set_order_fault(OrderFault::default()),
-        Fault::Upstream => site.restart_upstream(what),
+        Fault::Upstream => site.restart_upstream(target),
         Fault::Restart => {}
         Fault::Leave => {
-            site.kill(what);
-            site.start_node(what);
+            site.kill(target);
+            site.start_node(target);
         }
     }
 }
 
-/// Submits for a while, and some jobs a second time after their callers' connections broke.
-fn load(site: &mut RunSite, next: &mut u64, ms: u64) {
+/// Submits jobs for `ms` milliseconds, and drops the callers of some that are not answered yet.
+fn submit_jobs(site: &mut RunSite, next: &mut u64, ms: u64) {
     let until = site.now_ms() + ms;
     while site.now_ms() < until {
         let node = site.chance(site.nodes() as u64) as usize;
@@ -98,10 +99,10 @@
         let job = run_job(tasks, 4_000 + site.chance(5_000) as u32, run_ms);
         site.submit(node, "look", &id, &job);
         if site.chance(10) == 0 && *next > 60 {
-            // Sent 1.3 s or more ago, at about 50 jobs a second.
-            let again = format!("{:016x}", *next - 60 - site.chance(20).min(*next - 60));
-            if site.answer(&again).is_none() {
-                site.drop_caller(&again);
+            // Submitted at least 1.3 s ago, at about 50 jobs per second.
+            let dropped = format!("{:016x}", *next - 60 - site.chance(20).min(*next - 60));
+            if site.answer(&dropped).is_none() {
+                site.drop_caller(&dropped);
             }
         }
         let gap_ms = 10 + site.chance(20);
@@ -109,7 +110,7 @@
     }
 }
 
-fn play(seed: u64) {
+fn run_seed(seed: u64) {
     let mut site = RunSite::start(&SitePlan {
         speeds: vec![0.8, 1.0, 1.25],
         seed,
@@ -120,18 +121,18 @@
     for _ in 0..6 {
         let first = FAULTS[site.chance(FAULTS.len() as u64) as usize];
         let second = FAULTS[site.chance(FAULTS.len() as u64) as usize];
-        let at_first = begin(&mut site, first);
-        load(&mut site, &mut next, FAULT_GAP_MS);
-        let at_second = begin(&mut site, second);
-        load(&mut site, &mut next, FAULT_GAP_MS * 3);
-        end(&mut site, first, at_first);
-        load(&mut site, &mut next, FAULT_GAP_MS);
-        end(&mut site, second, at_second);
-        load(&mut site, &mut next, FAULT_GAP_MS);
-        let found = site.violations();
+        let at_first = begin_fault(&mut site, first);
+        submit_jobs(&mut site, &mut next, FAULT_GAP_MS);
+        let at_second = begin_fault(&mut site, second);
+        submit_jobs(&mut site, &mut next, FAULT_GAP_MS * 3);
+        end_fault(&mut site, first, at_first);
+        submit_jobs(&mut site, &mut next, FAULT_GAP_MS);
+        end_fault(&mut site, second, at_second);
+        submit_jobs(&mut site, &mut next, FAULT_GAP_MS);
+        let violations = site.violations();
         assert!(
-            found.is_empty(),
-            "seed {seed}, {first:?} and {second:?}: {found:?}"
+            violations.is_empty(),
+            "seed {seed}, {first:?} and {second:?}: {violations:?}"
         );
     }
     site.run_ms(14_000);
@@ -140,16 +141,20 @@
         "seed {seed}: {:?}",
         site.violations()
     );
-    assert_eq!(site.running(), 0, "seed {seed}: runs left");
+    assert_eq!(site.running(), 0, "seed {seed}: runs still active");
     let usable: usize = (0..site.nodes())
         .map(|node| site.usable_upstreams(node))
         .sum();
-    assert_eq!(usable, site.upstreams(), "seed {seed}: upstreams unused");
+    assert_eq!(
+        usable,
+        site.upstreams(),
+        "seed {seed}: some upstreams are not usable"
+    );
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let chosen = std::env::var("RANDOM_FAULTS_SEEDS").ok();
-    let range = chosen.and_then(|text| {
+    let text = std::env::var("RANDOM_FAULTS_SEEDS").ok();
+    let range = text.and_then(|text| {
         let (from, to) = text.split_once("..")?;
         Some(from.parse().ok()?..to.parse().ok()?)
     });
@@ -159,6 +164,6 @@
 #[test]
 fn no_task_runs_twice_and_the_site_recovers() {
     for seed in seeds() {
-        play(seed);
+        run_seed(seed);
     }
 }
--- a/lib/tests/refused_batch.rs
+++ b/lib/tests/refused_batch.rs
@@ -1,4 +1,4 @@
-//! A sibling that refuses a batch costs its job time, never its answer.
+//! A batch that a sibling refuses delays its job but does not fail it.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 
 const HOME: usize = 0;
 
-/// Lets a job overflow to siblings that all refuse it, then ends what runs at the home.
+/// Siblings refuse all tasks that a job forwards to them, so the job completes at its home.
 #[test]
-fn job_completes() {
+fn job_completes_after_refused_batches() {
     let mut fakes = CoreFakes::new();
     let text = DOCUMENT.replace(r#""slots": 2"#, r#""slots": 10"#);
     let text = text.replace(r#""retry_percent": 100"#, r#""retry_percent": 1"#);
--- a/lib/tests/session_token.rs
+++ b/lib/tests/session_token.rs
@@ -1,4 +1,4 @@
-//! Tokens that name sessions.
+//! Session tokens: issuing, verification and rejection of other text.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn issued_verifies() {
+fn issued_token_verifies() {
     let tokens = SessionTokens::new(KEY);
     let longest = "x".repeat(MAX_INSTANCE_BYTES);
     for instance in ["", "ate-1", "Töölö-2", longest.as_str()] {
