--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -133,7 +133,7 @@
         let message = self.batch_message(key, batch, receiver, tasks);
         let service = message.service.clone();
         if let Some(state) = self.siblings.get_mut(sibling) {
-            state.take_capacity(&service, sent);
+            state.reserve_capacity(&service, sent);
         }
         let record = SentBatch { job: key, open };
         self.sent_batches.insert(sibling, batch, record);
--- a/lib/src/ending.rs
+++ b/lib/src/ending.rs
@@ -234,7 +234,7 @@
         let Some(key) = self.find_job(&waiter, address, ForwardedRequest::Cancel) else {
             return;
         };
-        self.join(waiter, key, None);
+        self.add_waiter(waiter, key, None);
         if self.jobs[key].stage == JobStage::Ended {
             return;
         }
@@ -244,7 +244,7 @@
     /// Answers with a job's result if this is its home, otherwise forwards the request there.
     pub(crate) fn look_up(&mut self, waiter: Waiter, address: &JobAddress) {
         if let Some(key) = self.find_job(&waiter, address, ForwardedRequest::LookUp) {
-            self.join(waiter, key, None);
+            self.add_waiter(waiter, key, None);
         }
     }
 
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -89,7 +89,7 @@
     }
 
     /// Counts tasks sent to it against the free slots that it reported.
-    pub(crate) fn take_capacity(&mut self, service: &str, tasks: u32) {
+    pub(crate) fn reserve_capacity(&mut self, service: &str, tasks: u32) {
         let load = self.digest.services.iter_mut();
         let Some(load) = load.into_iter().find(|load| &*load.service == service) else {
             return;
@@ -128,7 +128,7 @@
         self.seen.get_mut(&self.incarnation?)
     }
 
-    fn restart(&mut self, incarnation: Incarnation) {
+    fn begin_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
         self.digest = LoadDigest::default();
         if self.seen.len() >= MAX_REMEMBERED_INCARNATIONS && !self.seen.contains_key(&incarnation) {
@@ -224,7 +224,7 @@
             return false;
         }
         let restarted = state.incarnation.is_some();
-        state.restart(incarnation);
+        state.begin_incarnation(incarnation);
         restarted
     }
 
--- a/lib/src/submitting.rs
+++ b/lib/src/submitting.rs
@@ -1,4 +1,4 @@
-//! Submission of jobs: joining a known job, forwarding to its home, or opening a new one.
+//! Submission of jobs: waiting for a known job, forwarding to its home, or opening a new one.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -75,7 +75,7 @@
         }
         match self.sessions.state(self.now, session.number, number) {
             NumberState::Unused => self.open_job(waiter, &address, submission, JobStage::Open),
-            NumberState::Job(job) => self.join(waiter, job, Some(fingerprint(submission))),
+            NumberState::Job(job) => self.add_waiter(waiter, job, Some(fingerprint(submission))),
             NumberState::Cancelled => self.answer_not_run(waiter, NotRunReason::Cancelled, None),
             NumberState::Expired => self.answer_failed(waiter, FailReason::AnswerExpired, None),
         }
@@ -90,7 +90,7 @@
     ) {
         let forwarded = matches!(waiter, Waiter::Sibling { .. });
         match self.idempotency_keys.state(name) {
-            KeyState::Job(job) => self.join(waiter, job, Some(fingerprint(submission))),
+            KeyState::Job(job) => self.add_waiter(waiter, job, Some(fingerprint(submission))),
             KeyState::ClaimedNotRun => self.open_job(waiter, address, submission, JobStage::Open),
             KeyState::Unknown if forwarded => {
                 self.answer_failed(waiter, FailReason::AnswerExpired, None);
@@ -104,7 +104,7 @@
     /// Adds a waiter to a job, or answers it at once when the job has ended.
     ///
     /// A `fingerprint` that differs from the job's is refused as a reused address.
-    pub(crate) fn join(&mut self, waiter: Waiter, key: JobKey, fingerprint: Option<u64>) {
+    pub(crate) fn add_waiter(&mut self, waiter: Waiter, key: JobKey, fingerprint: Option<u64>) {
         let Some(job) = self.jobs.get_mut(key) else {
             return self.answer_failed(waiter, FailReason::AnswerExpired, None);
         };
@@ -160,7 +160,7 @@
             waiters: Vec::new(),
         };
         let key = self.insert_job(origin, tasks, &accepted, submission, stage);
-        self.join(waiter, key, None);
+        self.add_waiter(waiter, key, None);
         self.record_address(address, key);
         if stage == JobStage::Claiming {
             self.claim(key, address);
--- a/lib/tests/owner_assignment.rs
+++ b/lib/tests/owner_assignment.rs
@@ -90,7 +90,8 @@
 
 #[test]
 fn few_upstreams_change_owner() {
-    // Upstreams, instances, and the maximum share that changes owner when an instance joins.
+    // Numbers of upstreams and instances, and the maximum share of upstreams that change owner when
+    // an instance joins or leaves.
     let cases = [(12, 2, 0.5), (50, 6, 0.3), (50, 7, 0.3), (350, 20, 0.15)];
     for (upstream_count, instance_count, max_share) in cases {
         for site in 0..20 {
