--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -190,7 +190,7 @@
             id: task.task,
             input: task.input,
             state: TaskState::Waiting,
-            not_started_attempts: 0,
+            requeues: 0,
         });
         let submission = Submission {
             service: batch.service,
--- a/lib/src/job.rs
+++ b/lib/src/job.rs
@@ -89,8 +89,8 @@
     pub(crate) id: TaskId,
     pub(crate) input: Bytes,
     pub(crate) state: TaskState,
-    /// The number of attempts that ended as not started.
-    pub(crate) not_started_attempts: u32,
+    /// How often the task was requeued after an attempt.
+    pub(crate) requeues: u32,
 }
 
 /// A job, or the tasks of a sibling's job that run here.
@@ -152,10 +152,10 @@
         self.in_flight += 1;
     }
 
-    /// Returns a task that did not start to the front of the waiting tasks.
+    /// Returns a task in flight to the front of the waiting tasks.
     pub(crate) fn requeue(&mut self, index: u32) {
         self.tasks[index as usize].state = TaskState::Waiting;
-        self.tasks[index as usize].not_started_attempts += 1;
+        self.tasks[index as usize].requeues += 1;
         self.in_flight -= 1;
         self.waiting.push_front(index);
     }
--- a/lib/src/message_counts.rs
+++ b/lib/src/message_counts.rs
@@ -11,7 +11,7 @@
     pub upstream_answers: u64,
     /// Attempts that ended as not started.
     pub refusals: u64,
-    /// Attempts at tasks of which an earlier attempt did not start.
+    /// Attempts at tasks that were requeued after an earlier attempt.
     pub retries: u64,
     /// Requests forwarded to the home of their job.
     pub forwards: u64,
--- a/lib/src/starting.rs
+++ b/lib/src/starting.rs
@@ -24,8 +24,8 @@
 use crate::submission::Needs;
 use crate::submitting::DEFAULT_RETRY_AFTER;
 
-/// After this many attempts that did not start, a task that could not be sent is not retried.
-const MAX_UNSENT_ATTEMPTS: u32 = 8;
+/// After this many requeues, a task that could not be sent is not requeued again.
+const MAX_UNSENT_REQUEUES: u32 = 8;
 
 /// An upstream with a free slot, for tasks whose needs are within its resources.
 struct FreeUpstream {
@@ -113,7 +113,7 @@
         job.set_in_flight(index, TaskState::Running(attempt));
         let task = &job.tasks[index as usize];
         self.counts.attempts += 1;
-        if task.not_started_attempts == 0 {
+        if task.requeues == 0 {
             service.retry_budget.on_first_attempt();
         } else {
             self.counts.retries += 1;
@@ -264,13 +264,13 @@
 
     fn on_task_not_started(&mut self, key: JobKey, index: u32, cause: NotStartedCause) {
         let job = &self.jobs[key];
-        let refused = job.tasks[index as usize].not_started_attempts;
+        let requeues = job.tasks[index as usize].requeues;
         let retries = &mut self.site.services[job.service].retry_budget;
         let again = match cause {
             _ if self.now >= job.deadline => false,
             // The pause after a refusal limits the rate of attempts at a full upstream.
             NotStartedCause::Refused => true,
-            NotStartedCause::NotSent => refused < MAX_UNSENT_ATTEMPTS && retries.try_retry(),
+            NotStartedCause::NotSent => requeues < MAX_UNSENT_REQUEUES && retries.try_retry(),
             NotStartedCause::PastDeadline => false,
         };
         if again {
--- a/lib/src/submitting.rs
+++ b/lib/src/submitting.rs
@@ -152,7 +152,7 @@
                 },
                 input: input.clone(),
                 state: TaskState::Waiting,
-                not_started_attempts: 0,
+                requeues: 0,
             });
         let tasks: Vec<Task> = tasks.collect();
         let origin = JobOrigin::Callers {
