--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -1,12 +1,11 @@
-//! Random faults on a site of whole processes, in series and overlapping, and the users' promises
-//! checked from what callers and upstreams see.
+//! Injects random faults, one at a time and overlapping, into a site of real processes, and checks
+//! the promises to users against what callers and upstreams observe.
 //!
-//! There are two courses: one of short tasks with faults of all kinds, and one of tasks that may
-//! outlast a lease, whose callers wait longer and break connections, and whose faults come close
-//! together.
+//! There are two scenarios: short tasks with faults of all kinds; and tasks that may outlast a
+//! lease, whose callers wait longer and drop connections, with faults at short intervals.
 //!
-//! `FAULT_SOAK_SEEDS=100..150` plays other seeds, `FAULT_SOAK_STEPS=60` more faults of each, and
-//! `FAULT_SOAK_INSTANCES=24` more instances; upstreams are twice as many.
+//! `FAULT_SOAK_SEEDS=100..150` runs other seeds, `FAULT_SOAK_STEPS=60` injects more faults per seed,
+//! and `FAULT_SOAK_INSTANCES=24` starts more instances. There are two upstreams per instance.
 
 use std::collections::BTreeSet;
 use std::env;
@@ -38,22 +37,23 @@
 use smol::Task;
 use smol::Timer;
 
-/// The seeds of each course played in CI.
+/// Seeds that CI runs in each scenario.
 const SEEDS: Range<u64> = 1..3;
 
-/// Seeds of the course of short tasks that failed once, played in CI too.
+/// Regression seeds of the scenario with short tasks, which CI runs too.
 ///
-/// 3, 4 and 35: an instance that came back at a new address had no queue for it. 3 and 5: callers
-/// sent a job again at once, while a run of it was being stopped or a held start took effect.
-const FAILED_SEEDS: [u64; 4] = [3, 4, 5, 35];
+/// 3, 4 and 35: an instance that restarted at a new address had no queue for that address.
+/// 3 and 5: callers resubmitted a job at once, while a run of it was being stopped or a delayed
+/// start took effect.
+const SHORT_REGRESSION_SEEDS: [u64; 4] = [3, 4, 5, 35];
 
-/// Seeds of the course of long tasks that failed once, played in CI too.
+/// Regression seeds of the scenario with long tasks, which CI runs too.
 ///
-/// 1004 and 1111: ends of an earlier attempt, and batches of an owner that had started again. 1102:
-/// ends of an earlier attempt.
-const FAILED_LONG_SEEDS: [u64; 3] = [1004, 1102, 1111];
+/// 1004 and 1111: reported ends of an earlier attempt, and batches of an owner that had restarted.
+/// 1102: reported ends of an earlier attempt.
+const LONG_REGRESSION_SEEDS: [u64; 3] = [1004, 1102, 1111];
 
-/// The faults of a seed played in CI.
+/// Number of faults drawn per seed in CI.
 const SHORT_STEPS: u64 = 12;
 const LONG_STEPS: u64 = 24;
 
@@ -61,103 +61,134 @@
 const SHORT_CALLERS: u64 = 6;
 const LONG_CALLERS: u64 = 12;
 
-/// How long a caller waits, and how long after a lost answer it sends the job again.
+/// How long a caller of a short job waits for the answer.
 const CALLER_WAIT: Duration = Duration::from_millis(1_500);
-const RESEND_AFTER: Duration = Duration::from_millis(1_300);
 
-/// How long an upstream stays out of reach after the instance has started again.
+/// How long after a lost answer a caller submits the job again.
+const RESUBMIT_DELAY: Duration = Duration::from_millis(1_300);
+
+/// How long `Fault::CutAndRestart` keeps the upstream unreachable after it restarts the instance.
 const CUT_AFTER_RESTART: Duration = Duration::from_millis(900);
 
-/// How often faults and broken connections are looked at.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which expired faults and dropped connections are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long after its signal and the fault's time a stopping instance may still run.
-const STOP_TIME: Duration = Duration::from_secs(7);
+/// How long an instance may still run after the duration of the `Fault::Stop` that signalled it.
+const STOP_TIMEOUT: Duration = Duration::from_secs(7);
 
-/// How long after the last fault every instance must serve again, as the users' bound for the
-/// loss of everything.
-const RECOVERY: Duration = Duration::from_secs(12);
+/// Within what time after the last fault every instance must serve again: the users' bound for
+/// recovery after all instances died.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long after the last caller has left nothing may run: a lease and the time to notice.
-const QUIET: Duration = Duration::from_secs(3);
+/// How long after the last caller has gone runs may remain: a lease and the time until its expiry
+/// is noticed.
+const DRAIN_TIME: Duration = Duration::from_secs(3);
 
-/// Which jobs are submitted and which faults come.
+/// Which jobs are submitted and which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Course {
+enum Scenario {
     ShortTasks,
     LongTasks,
 }
 
-/// What a caller saw of one job.
+/// One submission of a job and its answer, as the caller saw it.
 #[derive(Debug)]
-struct Asked {
+struct SentRequest {
     job: String,
     tasks: u32,
     instance: usize,
     sent_at: Instant,
-    sent_times: u32,
-    /// Whether the caller or a fault broke the connection.
+    /// 1 for the first submission of the job.
+    submission_number: u32,
+    /// Whether the caller or a fault dropped the connection.
     is_broken: bool,
+    /// None without an answer.
     answer: Option<CallerAnswer>,
 }
 
-/// What callers and faults share.
+/// State shared by the callers and the fault injection. Vectors with an entry per instance are in
+/// the order of the site's instances.
 #[derive(Default)]
-struct Board {
+struct SoakState {
+    /// Where each instance listens for callers.
     addresses: Vec<SocketAddr>,
-    asked: Vec<Asked>,
-    /// Since when an instance has been sound; none from the time at which a signal of ours ends it.
-    sound_since: Vec<Option<Instant>>,
-    /// When the callers' connections to an instance were reset last.
-    reset_at: Vec<Option<Instant>>,
-    next_job: u64,
-    /// What processes that have ended had logged.
-    past_logs: Vec<String>,
-    is_over: bool,
+    /// All submissions that have ended.
+    requests: Vec<SentRequest>,
+    /// Since when an instance has run undisturbed; none while it is suspended, and for good once a
+    /// fault has ended it.
+    healthy_since: Vec<Option<Instant>>,
+    /// When the callers' connections to an instance were last reset.
+    callers_reset_at: Vec<Option<Instant>>,
+    /// The number of the last job submitted.
+    last_job_number: u64,
+    /// Log lines of processes that have ended.
+    ended_process_logs: Vec<String>,
+    /// Whether callers have to stop.
+    is_finished: bool,
 }
 
-type SharedBoard = Arc<Mutex<Board>>;
+type SharedState = Arc<Mutex<SoakState>>;
 
-fn lock(board: &SharedBoard) -> MutexGuard<'_, Board> {
-    board.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &SharedState) -> MutexGuard<'_, SoakState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
+/// A fault, with the index of the instance or upstream that it acts on.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
+    /// Kills an instance and later restarts it, with a new intended state.
     Kill(usize),
+    /// Stops an instance by a signal and, once it has ended, restarts it with a new intended state.
     Stop(usize),
+    /// Suspends an instance's process.
     Freeze(usize),
-    StoreAway(StoreFault),
-    HistoryGone,
+    /// The store fails for all instances.
+    StoreUnavailable(StoreFault),
+    /// The store loses its history of changes.
+    StoreHistoryLost,
+    /// Nothing passes between an instance and the store.
     StoreCut(usize),
+    /// Answers of the store do not reach an instance.
     StoreCutOneWay(usize),
+    /// Data between an instance and the store is delayed.
     StoreSlow(usize),
+    /// Connections of an instance to the store are closed.
     StoreReset(usize),
+    /// Nothing passes to or from an upstream.
     UpstreamCut(usize),
+    /// Answers of an upstream do not arrive.
     UpstreamCutOneWay(usize),
+    /// Data to and from an upstream is delayed.
     UpstreamSlow(usize),
+    /// Connections to an upstream are closed.
     UpstreamReset(usize),
-    Orders(usize, OrderFate),
-    FailsAll(usize),
+    /// An upstream loses, delays or refuses orders, or loses their answers.
+    UpstreamOrders(usize, OrderFate),
+    /// All tasks fail on an upstream.
+    UpstreamFailsTasks(usize),
+    /// An upstream restarts.
     UpstreamRestart(usize),
-    Change,
+    /// A new version of the intended state is written.
+    NewIntendedState,
+    /// Kills an instance and restarts it soon, without a new intended state.
     QuickRestart(usize),
+    /// Callers drop their connections to an instance.
     CallersReset(usize),
-    /// An upstream out of reach while an instance starts again quickly.
+    /// Cuts off an upstream (first index) and kills an instance (second index), which restarts soon.
     CutAndRestart(usize, usize),
 }
 
-fn draw(rng: &mut StdRng, site: &ProcessSite) -> Fault {
+fn draw_for_short_tasks(rng: &mut StdRng, site: &ProcessSite) -> Fault {
     let instance = rng.random_range(0..site.instances.len());
     let upstream = rng.random_range(0..site.upstreams.len());
     let faults = [
         Fault::Kill(instance),
         Fault::Stop(instance),
         Fault::Freeze(instance),
-        Fault::StoreAway(StoreFault::Busy),
-        Fault::StoreAway(StoreFault::Silent),
-        Fault::StoreAway(StoreFault::LosesAnswers),
-        Fault::HistoryGone,
+        Fault::StoreUnavailable(StoreFault::Busy),
+        Fault::StoreUnavailable(StoreFault::Silent),
+        Fault::StoreUnavailable(StoreFault::LosesAnswers),
+        Fault::StoreHistoryLost,
         Fault::StoreCut(instance),
         Fault::StoreCutOneWay(instance),
         Fault::StoreSlow(instance),
@@ -166,17 +197,17 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamSlow(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::Orders(upstream, OrderFate::AnswerLost),
-        Fault::Orders(upstream, OrderFate::Lost),
-        Fault::Orders(upstream, OrderFate::Unhealthy),
-        Fault::FailsAll(upstream),
+        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderFate::Lost),
+        Fault::UpstreamOrders(upstream, OrderFate::Unhealthy),
+        Fault::UpstreamFailsTasks(upstream),
         Fault::UpstreamRestart(upstream),
-        Fault::Change,
+        Fault::NewIntendedState,
     ];
     faults[rng.random_range(0..faults.len())]
 }
 
-fn draw_close(rng: &mut StdRng, site: &ProcessSite) -> Fault {
+fn draw_for_long_tasks(rng: &mut StdRng, site: &ProcessSite) -> Fault {
     let instance = rng.random_range(0..site.instances.len());
     let upstream = rng.random_range(0..site.upstreams.len());
     let faults = [
@@ -194,49 +225,49 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::Orders(upstream, OrderFate::AnswerLost),
-        Fault::Orders(upstream, OrderFate::Lost),
-        Fault::Orders(upstream, OrderFate::Late),
+        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderFate::Lost),
+        Fault::UpstreamOrders(upstream, OrderFate::Late),
         Fault::UpstreamRestart(upstream),
-        Fault::Change,
+        Fault::NewIntendedState,
     ];
     faults[rng.random_range(0..faults.len())]
 }
 
-impl Course {
-    fn draw(self, rng: &mut StdRng, site: &ProcessSite) -> Fault {
+impl Scenario {
+    fn draw_fault(self, rng: &mut StdRng, site: &ProcessSite) -> Fault {
         match self {
-            Course::ShortTasks => draw(rng, site),
-            Course::LongTasks => draw_close(rng, site),
+            Scenario::ShortTasks => draw_for_short_tasks(rng, site),
+            Scenario::LongTasks => draw_for_long_tasks(rng, site),
         }
     }
 
-    /// How long a fault lasts.
-    fn lasts(self, rng: &mut StdRng, fault: Fault) -> Duration {
+    /// Draws how long a fault lasts.
+    fn fault_duration(self, rng: &mut StdRng, fault: Fault) -> Duration {
         let range_ms = match (self, fault) {
             (_, Fault::QuickRestart(_) | Fault::CutAndRestart(..)) => 200..400,
             (
-                Course::LongTasks,
-                Fault::UpstreamCut(_) | Fault::UpstreamCutOneWay(_) | Fault::Orders(..),
+                Scenario::LongTasks,
+                Fault::UpstreamCut(_) | Fault::UpstreamCutOneWay(_) | Fault::UpstreamOrders(..),
             ) => 1_000..3_000,
             _ => 200..2_000,
         };
         Duration::from_millis(rng.random_range(range_ms))
     }
 
-    /// The time until the next fault.
-    fn gap(self, rng: &mut StdRng) -> Duration {
+    /// Draws the time until the next fault.
+    fn fault_interval(self, rng: &mut StdRng) -> Duration {
         let range_ms = match self {
-            Course::ShortTasks => 100..900,
-            Course::LongTasks if rng.random_bool(0.5) => 0..150,
-            Course::LongTasks => 200..900,
+            Scenario::ShortTasks => 100..900,
+            Scenario::LongTasks if rng.random_bool(0.5) => 0..150,
+            Scenario::LongTasks => 200..900,
         };
         Duration::from_millis(rng.random_range(range_ms))
     }
 
-    /// A job, its number of tasks, and how long its caller waits.
+    /// Draws a job. Returns it with its number of tasks and how long its caller waits.
     fn job(self, rng: &mut StdRng) -> (JobSpec, u32, Duration) {
-        if self == Course::ShortTasks || rng.random_bool(0.4) {
+        if self == Scenario::ShortTasks || rng.random_bool(0.4) {
             let tasks = rng.random_range(1..=6);
             return (run_job(tasks, 6_800, 60), tasks, CALLER_WAIT);
         }
@@ -246,46 +277,51 @@
             spec: Arc::from(work_ms.to_string()),
             ..run_job(tasks, 6_800, work_ms)
         };
-        let late_ms = 3 * (work_ms * 8 / 5 + 60);
-        (spec, tasks, CALLER_WAIT + Duration::from_millis(late_ms))
+        let extra_wait_ms = 3 * (work_ms * 8 / 5 + 60);
+        (
+            spec,
+            tasks,
+            CALLER_WAIT + Duration::from_millis(extra_wait_ms),
+        )
     }
 
-    /// After how long a caller breaks its connection, if it does.
-    fn breaks_after(self, rng: &mut StdRng) -> Option<Duration> {
-        let breaks = self == Course::LongTasks && rng.random_bool(0.15);
-        breaks.then(|| Duration::from_millis(rng.random_range(20..1_500)))
+    /// Draws after what time a caller drops its connection; none if it waits for the answer.
+    fn disconnects_after(self, rng: &mut StdRng) -> Option<Duration> {
+        let disconnects = self == Scenario::LongTasks && rng.random_bool(0.15);
+        disconnects.then(|| Duration::from_millis(rng.random_range(20..1_500)))
     }
 
-    /// How often a job is sent in all.
-    fn most_sent(self) -> u32 {
+    /// How often a job is submitted at most.
+    fn max_submissions(self) -> u32 {
         match self {
-            Course::ShortTasks => 2,
-            Course::LongTasks => 3,
+            Scenario::ShortTasks => 2,
+            Scenario::LongTasks => 3,
         }
     }
 
     fn callers(self) -> u64 {
         match self {
-            Course::ShortTasks => SHORT_CALLERS,
-            Course::LongTasks => LONG_CALLERS,
+            Scenario::ShortTasks => SHORT_CALLERS,
+            Scenario::LongTasks => LONG_CALLERS,
         }
     }
 
     fn steps(self) -> u64 {
         match self {
-            Course::ShortTasks => SHORT_STEPS,
-            Course::LongTasks => LONG_STEPS,
+            Scenario::ShortTasks => SHORT_STEPS,
+            Scenario::LongTasks => LONG_STEPS,
         }
     }
 
     fn seeds(self) -> Vec<u64> {
         match self {
-            Course::ShortTasks => SEEDS.chain(FAILED_SEEDS).collect(),
-            Course::LongTasks => SEEDS.chain(FAILED_LONG_SEEDS).collect(),
+            Scenario::ShortTasks => SEEDS.chain(SHORT_REGRESSION_SEEDS).collect(),
+            Scenario::LongTasks => SEEDS.chain(LONG_REGRESSION_SEEDS).collect(),
         }
     }
 }
 
+/// Returns faults that delay data in both directions.
 fn delayed(delay_ms: u64) -> ProxyFaults {
     ProxyFaults {
         delay_ms,
@@ -293,126 +329,141 @@
     }
 }
 
-fn deaf() -> ProxyFaults {
+/// Returns faults that let requests pass and hold answers back.
+fn answers_black_holed() -> ProxyFaults {
     ProxyFaults {
         black_hole_answers: true,
         ..ProxyFaults::default()
     }
 }
 
-/// The instance whose process a fault ends.
-fn ended(fault: Fault) -> Option<usize> {
+/// Returns the instance whose process a fault ends.
+fn ended_instance(fault: Fault) -> Option<usize> {
     match fault {
-        Fault::Kill(at)
-        | Fault::Stop(at)
-        | Fault::QuickRestart(at)
-        | Fault::CutAndRestart(_, at) => Some(at),
+        Fault::Kill(index)
+        | Fault::Stop(index)
+        | Fault::QuickRestart(index)
+        | Fault::CutAndRestart(_, index) => Some(index),
         _ => None,
     }
 }
 
-/// The instance whose process a fault ends or suspends.
-fn stricken(fault: Fault) -> Option<usize> {
+/// Returns the instance whose process a fault ends or suspends.
+fn ended_or_frozen_instance(fault: Fault) -> Option<usize> {
     match fault {
-        Fault::Freeze(at) => Some(at),
-        _ => ended(fault),
+        Fault::Freeze(index) => Some(index),
+        _ => ended_instance(fault),
     }
 }
 
-fn begin(site: &mut ProcessSite, board: &SharedBoard, fault: Fault) -> TestResult {
-    if let Some(at) = stricken(fault) {
-        lock(board).sound_since[at] = None;
+/// Begins a fault.
+fn begin_fault(site: &mut ProcessSite, state: &SharedState, fault: Fault) -> TestResult {
+    if let Some(index) = ended_or_frozen_instance(fault) {
+        lock(state).healthy_since[index] = None;
     }
     match fault {
-        Fault::Kill(at) | Fault::QuickRestart(at) => site.instances[at].process.kill9()?,
-        Fault::CutAndRestart(upstream, at) => {
+        Fault::Kill(index) | Fault::QuickRestart(index) => site.instances[index].process.kill9()?,
+        Fault::CutAndRestart(upstream, index) => {
             site.upstream_proxies[upstream].set_faults(ProxyFaults::black_hole());
-            site.instances[at].process.kill9()?;
+            site.instances[index].process.kill9()?;
+        }
+        Fault::CallersReset(index) => lock(state).callers_reset_at[index] = Some(Instant::now()),
+        Fault::Stop(index) => site.instances[index].process.terminate()?,
+        Fault::Freeze(index) => site.instances[index].process.freeze()?,
+        Fault::StoreUnavailable(store_fault) => site.store.set_fault(store_fault),
+        Fault::StoreHistoryLost => site.store.drop_history(),
+        Fault::StoreCut(index) => site.store_proxies[index].set_faults(ProxyFaults::black_hole()),
+        Fault::StoreCutOneWay(index) => site.store_proxies[index].set_faults(answers_black_holed()),
+        Fault::StoreSlow(index) => site.store_proxies[index].set_faults(delayed(200)),
+        Fault::StoreReset(index) => site.store_proxies[index].cut_all(),
+        Fault::UpstreamCut(index) => {
+            site.upstream_proxies[index].set_faults(ProxyFaults::black_hole())
+        }
+        Fault::UpstreamCutOneWay(index) => {
+            site.upstream_proxies[index].set_faults(answers_black_holed())
         }
-        Fault::CallersReset(at) => lock(board).reset_at[at] = Some(Instant::now()),
-        Fault::Stop(at) => site.instances[at].process.terminate()?,
-        Fault::Freeze(at) => site.instances[at].process.freeze()?,
-        Fault::StoreAway(how) => site.store.set_fault(how),
-        Fault::HistoryGone => site.store.drop_history(),
-        Fault::StoreCut(at) => site.store_proxies[at].set_faults(ProxyFaults::black_hole()),
-        Fault::StoreCutOneWay(at) => site.store_proxies[at].set_faults(deaf()),
-        Fault::StoreSlow(at) => site.store_proxies[at].set_faults(delayed(200)),
-        Fault::StoreReset(at) => site.store_proxies[at].cut_all(),
-        Fault::UpstreamCut(at) => site.upstream_proxies[at].set_faults(ProxyFaults::black_hole()),
-        Fault::UpstreamCutOneWay(at) => site.upstream_proxies[at].set_faults(deaf()),
-        Fault::UpstreamSlow(at) => site.upstream_proxies[at].set_faults(delayed(60)),
-        Fault::UpstreamReset(at) => site.upstream_proxies[at].cut_all(),
-        Fault::Orders(at, fate) => site.upstreams[at].set_fate(fate),
-        Fault::FailsAll(at) => site.upstreams[at].set_fails_all(true),
-        Fault::UpstreamRestart(at) => {
-            site.upstreams[at].restart();
-            site.list_upstream(at);
+        Fault::UpstreamSlow(index) => site.upstream_proxies[index].set_faults(delayed(60)),
+        Fault::UpstreamReset(index) => site.upstream_proxies[index].cut_all(),
+        Fault::UpstreamOrders(index, fate) => site.upstreams[index].set_fate(fate),
+        Fault::UpstreamFailsTasks(index) => site.upstreams[index].set_fails_all(true),
+        Fault::UpstreamRestart(index) => {
+            site.upstreams[index].restart();
+            site.list_upstream(index);
         }
-        Fault::Change => site.put_intended(),
+        Fault::NewIntendedState => site.put_intended(),
     }
     Ok(())
 }
 
-async fn end(site: &mut ProcessSite, board: &SharedBoard, fault: Fault) -> TestResult {
-    if let Some(at) = ended(fault) {
-        let lines = site.instances[at].process.output();
-        lock(board).past_logs.extend(lines);
+/// Ends a fault: restores connections and restarts processes.
+async fn end_fault(site: &mut ProcessSite, state: &SharedState, fault: Fault) -> TestResult {
+    if let Some(index) = ended_instance(fault) {
+        let lines = site.instances[index].process.output();
+        lock(state).ended_process_logs.extend(lines);
     }
     match fault {
-        Fault::Kill(at) => restart(site, board, at).await?,
-        Fault::QuickRestart(at) | Fault::CutAndRestart(_, at) => site.restart_instance(at)?,
-        Fault::Stop(at) => {
-            let process = &mut site.instances[at].process;
+        Fault::Kill(index) => restart_instance(site, state, index).await?,
+        Fault::QuickRestart(index) | Fault::CutAndRestart(_, index) => {
+            site.restart_instance(index)?
+        }
+        Fault::Stop(index) => {
+            let process = &mut site.instances[index].process;
             process.wait_for_exit(Duration::ZERO).await?;
-            restart(site, board, at).await?;
+            restart_instance(site, state, index).await?;
         }
-        Fault::Freeze(at) => {
-            site.instances[at].process.thaw()?;
-            lock(board).sound_since[at] = Some(Instant::now());
+        Fault::Freeze(index) => {
+            site.instances[index].process.thaw()?;
+            lock(state).healthy_since[index] = Some(Instant::now());
         }
-        Fault::StoreAway(_) => site.store.set_fault(StoreFault::None),
-        Fault::StoreCut(at) | Fault::StoreCutOneWay(at) | Fault::StoreSlow(at) => {
-            site.store_proxies[at].heal().await?;
+        Fault::StoreUnavailable(_) => site.store.set_fault(StoreFault::None),
+        Fault::StoreCut(index) | Fault::StoreCutOneWay(index) | Fault::StoreSlow(index) => {
+            site.store_proxies[index].heal().await?;
         }
-        Fault::UpstreamCut(at) | Fault::UpstreamCutOneWay(at) | Fault::UpstreamSlow(at) => {
-            site.upstream_proxies[at].heal().await?;
+        Fault::UpstreamCut(index)
+        | Fault::UpstreamCutOneWay(index)
+        | Fault::UpstreamSlow(index) => {
+            site.upstream_proxies[index].heal().await?;
         }
-        Fault::Orders(at, _) => site.upstreams[at].set_fate(OrderFate::Answered),
-        Fault::FailsAll(at) => site.upstreams[at].set_fails_all(false),
+        Fault::UpstreamOrders(index, _) => site.upstreams[index].set_fate(OrderFate::Answered),
+        Fault::UpstreamFailsTasks(index) => site.upstreams[index].set_fails_all(false),
         _ => {}
     }
     Ok(())
 }
 
-async fn restart(site: &mut ProcessSite, board: &SharedBoard, at: usize) -> TestResult {
-    site.instances[at] = site.start_instance(at)?;
-    lock(board).addresses[at] = site.instances[at].callers;
-    // Its host is new.
+/// Starts an instance again, at a new address.
+async fn restart_instance(site: &mut ProcessSite, state: &SharedState, index: usize) -> TestResult {
+    site.instances[index] = site.start_instance(index)?;
+    lock(state).addresses[index] = site.instances[index].callers;
+    // Queues are matched by host, and its host has changed.
     site.put_intended();
     Ok(())
 }
 
-/// Whether a fault can end: its time is over, and so is the process that it stops.
+/// Returns whether a fault can end: its duration has passed, and a process that it stops has
+/// exited or exceeded `STOP_TIMEOUT`.
 fn is_due(site: &mut ProcessSite, (fault, until): (Fault, Instant)) -> bool {
     let now = Instant::now();
     let is_stopping = match fault {
-        Fault::Stop(at) => now < until + STOP_TIME && site.instances[at].process.is_running(),
+        Fault::Stop(index) => {
+            now < until + STOP_TIMEOUT && site.instances[index].process.is_running()
+        }
         _ => false,
     };
     until <= now && !is_stopping
 }
 
-/// Waits, and ends the faults that are due.
-async fn pass(
+/// Waits until a time and meanwhile ends the faults that are due.
+async fn end_due_faults_until(
     site: &mut ProcessSite,
-    board: &SharedBoard,
+    state: &SharedState,
     active: &mut Vec<(Fault, Instant)>,
     until: Instant,
 ) -> TestResult {
     loop {
         let due = active.extract_if(.., |fault| is_due(site, *fault));
         for (fault, until) in due.collect::<Vec<_>>() {
-            end(site, board, fault).await?;
+            end_fault(site, state, fault).await?;
             if let Fault::CutAndRestart(upstream, _) = fault {
                 active.push((Fault::UpstreamCut(upstream), until + CUT_AFTER_RESTART));
             }
@@ -420,94 +471,101 @@
         if Instant::now() >= until {
             return Ok(());
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Whether two faults act on the same thing, so that the end of one would end the other.
-fn clash(one: Fault, other: Fault) -> bool {
-    if stricken(one).is_some() && stricken(one) == stricken(other) {
+/// Returns whether two faults act on the same target, so that the end of one would end the other.
+fn has_same_target(one: Fault, other: Fault) -> bool {
+    if ended_or_frozen_instance(one).is_some()
+        && ended_or_frozen_instance(one) == ended_or_frozen_instance(other)
+    {
         return true;
     }
-    let place = |fault| match fault {
-        Fault::StoreAway(_) => ("store", 0),
-        Fault::StoreCut(at) | Fault::StoreCutOneWay(at) | Fault::StoreSlow(at) => ("way", at),
-        Fault::UpstreamCut(at)
-        | Fault::UpstreamCutOneWay(at)
-        | Fault::UpstreamSlow(at)
-        | Fault::CutAndRestart(at, _) => ("upstream's way", at),
-        Fault::Orders(at, _) => ("orders", at),
-        Fault::FailsAll(at) | Fault::UpstreamRestart(at) => ("upstream", at),
-        _ => ("nothing", 0),
+    let target = |fault| match fault {
+        Fault::StoreUnavailable(_) => ("store", 0),
+        Fault::StoreCut(index) | Fault::StoreCutOneWay(index) | Fault::StoreSlow(index) => {
+            ("store connection", index)
+        }
+        Fault::UpstreamCut(index)
+        | Fault::UpstreamCutOneWay(index)
+        | Fault::UpstreamSlow(index)
+        | Fault::CutAndRestart(index, _) => ("upstream connection", index),
+        Fault::UpstreamOrders(index, _) => ("orders", index),
+        Fault::UpstreamFailsTasks(index) | Fault::UpstreamRestart(index) => ("upstream", index),
+        _ => ("none", 0),
     };
-    place(one) == place(other) && place(one).0 != "nothing"
+    target(one) == target(other) && target(one).0 != "none"
 }
 
-/// Waits until the connection of a request breaks.
-async fn wait_for_break(
-    board: &SharedBoard,
+/// Waits until a fault resets the connection of a request or its caller drops it.
+async fn wait_for_disconnect(
+    state: &SharedState,
     instance: usize,
     sent_at: Instant,
-    breaks_at: Option<Instant>,
+    disconnects_at: Option<Instant>,
 ) {
     loop {
-        let is_reset = lock(board).reset_at[instance].is_some_and(|at| at >= sent_at);
-        if is_reset || breaks_at.is_some_and(|at| at <= Instant::now()) {
+        let is_reset = lock(state).callers_reset_at[instance].is_some_and(|at| at >= sent_at);
+        if is_reset || disconnects_at.is_some_and(|at| at <= Instant::now()) {
             return;
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Submits jobs one after another, and sends those again whose answer was lost.
-async fn call(board: SharedBoard, course: Course, seed: u64) {
+/// Submits jobs one after another, and resubmits those whose answer was lost.
+async fn run_caller(state: SharedState, scenario: Scenario, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let client = HttpClient::new(HttpSettings::default());
-    while !lock(&board).is_over {
-        let (spec, tasks, wait) = course.job(&mut rng);
+    while !lock(&state).is_finished {
+        let (spec, tasks, wait) = scenario.job(&mut rng);
         let number = {
-            let mut board = lock(&board);
-            board.next_job += 1;
-            board.next_job
+            let mut state = lock(&state);
+            state.last_job_number += 1;
+            state.last_job_number
         };
         let job = format!("{number:016x}");
-        for sent_times in 1..=course.most_sent() {
+        for submission_number in 1..=scenario.max_submissions() {
             let (instance, address) = {
-                let board = lock(&board);
-                let instance = rng.random_range(0..board.addresses.len());
-                (instance, board.addresses[instance])
+                let state = lock(&state);
+                let instance = rng.random_range(0..state.addresses.len());
+                (instance, state.addresses[instance])
             };
             let sent_at = Instant::now();
-            let breaks_at = course.breaks_after(&mut rng).map(|after| sent_at + after);
+            let disconnects_at = scenario
+                .disconnects_after(&mut rng)
+                .map(|after| sent_at + after);
             let path = format!("/look/{job}");
-            let asked = async {
+            let answered = async {
                 let answer = submit_over(&client, address, &path, &spec, wait).await;
                 (answer.ok(), false)
             };
-            let broken = async {
-                wait_for_break(&board, instance, sent_at, breaks_at).await;
+            let disconnected = async {
+                wait_for_disconnect(&state, instance, sent_at, disconnects_at).await;
                 (None, true)
             };
-            let (answer, is_broken) = or(asked, broken).await;
+            let (answer, is_broken) = or(answered, disconnected).await;
             let is_lost = answer.as_ref().is_none_or(|answer| answer.status >= 504);
-            lock(&board).asked.push(Asked {
+            lock(&state).requests.push(SentRequest {
                 job: job.clone(),
                 tasks,
                 instance,
                 sent_at,
-                sent_times,
+                submission_number,
                 is_broken,
                 answer,
             });
             if !is_lost {
                 break;
             }
-            Timer::after(RESEND_AFTER).await;
+            Timer::after(RESUBMIT_DELAY).await;
         }
         Timer::after(Duration::from_millis(rng.random_range(5..40))).await;
     }
 }
 
+/// Describes a run, with times in milliseconds since the start of the site.
 fn span_text(span: &RunSpan, started_at: Instant) -> String {
     let ms = |at: Instant| at.saturating_duration_since(started_at).as_secs_f64() * 1_000.0;
     let RunSpan { run, is_done, .. } = span;
@@ -518,57 +576,57 @@
     )
 }
 
-/// The promises that what callers and upstreams saw has broken.
-fn broken_promises(site: &ProcessSite, board: &Board, started_at: Instant) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Describes each violation of a promise that callers or upstreams saw.
+fn promise_violations(site: &ProcessSite, state: &SoakState, started_at: Instant) -> Vec<String> {
+    let mut violations = Vec::new();
     for [one, other] in site.overlaps() {
         let task = &one.task;
         let (one, other) = (span_text(&one, started_at), span_text(&other, started_at));
-        broken.push(format!("{task} ran twice at a time: {one}, {other}"));
+        violations.push(format!("{task} ran twice at the same time: {one}, {other}"));
     }
     let spans = site.spans_by_task();
     let ran: BTreeSet<&str> = spans.keys().filter_map(|task| task.get(..16)).collect();
-    let done = |job: &str| {
-        let of_job = spans.iter().filter(|(task, _)| task.starts_with(job));
-        let done = of_job.filter(|(_, spans)| spans.iter().any(|span| span.is_done));
+    let done_tasks = |job: &str| {
+        let tasks_of_job = spans.iter().filter(|(task, _)| task.starts_with(job));
+        let done = tasks_of_job.filter(|(_, spans)| spans.iter().any(|span| span.is_done));
         done.count()
     };
-    for asked in &board.asked {
-        let Asked { job, tasks, .. } = asked;
-        let Some(answer) = &asked.answer else {
-            if is_unanswered(asked, board) {
-                broken.push(format!("no answer from a sound instance: {asked:?}"));
+    for request in &state.requests {
+        let SentRequest { job, tasks, .. } = request;
+        let Some(answer) = &request.answer else {
+            if is_unanswered(request, state) {
+                violations.push(format!("no answer from a healthy instance: {request:?}"));
             }
             continue;
         };
         let is_completed = answer.state.as_deref() == Some("completed");
-        if is_completed && done(job) != *tasks as usize {
-            broken.push(format!(
-                "{job} completed with {} of {tasks} done",
-                done(job)
+        if is_completed && done_tasks(job) != *tasks as usize {
+            violations.push(format!(
+                "{job} was answered as completed with {} of {tasks} tasks done",
+                done_tasks(job)
             ));
         }
         let is_refused = matches!(answer.status, 429 | 503);
-        if is_refused && asked.sent_times == 1 && ran.contains(job.as_str()) {
-            broken.push(format!("{job} ran though it was refused: {answer:?}"));
+        if is_refused && request.submission_number == 1 && ran.contains(job.as_str()) {
+            violations.push(format!("{job} ran although it was refused: {answer:?}"));
         }
         if is_refused && answer.retry_after_s.is_none() {
-            broken.push(format!("{job} refused without Retry-After: {answer:?}"));
+            violations.push(format!("{job} was refused without Retry-After: {answer:?}"));
         }
     }
-    broken
+    violations
 }
 
-/// Whether an instance that was sound all the while left a request without an answer.
-fn is_unanswered(asked: &Asked, board: &Board) -> bool {
-    let sound_since = board.sound_since[asked.instance];
-    !asked.is_broken && sound_since.is_some_and(|since| since < asked.sent_at)
+/// Returns whether an instance that was healthy throughout left a request without an answer.
+fn is_unanswered(request: &SentRequest, state: &SoakState) -> bool {
+    let healthy_since = state.healthy_since[request.instance];
+    !request.is_broken && healthy_since.is_some_and(|since| since < request.sent_at)
 }
 
-/// Waits until every instance is ready and completes a job.
-async fn recover(site: &mut ProcessSite, seed: u64) -> TestResult {
+/// Checks that every instance becomes ready and completes a job within `RECOVERY_TIMEOUT`.
+async fn check_recovery(site: &mut ProcessSite, seed: u64) -> TestResult {
     let client = HttpClient::new(HttpSettings::default());
-    let until = Instant::now() + RECOVERY;
+    let until = Instant::now() + RECOVERY_TIMEOUT;
     for number in 0..site.instances.len() {
         site.wait_until_ready(number).await?;
         for attempt in 0_u64.. {
@@ -583,7 +641,7 @@
                 break;
             }
             if Instant::now() > until {
-                return Err(format!("entry-{number} does not serve again: {answer:?}").into());
+                return Err(format!("entry-{number} completed no job in time: {answer:?}").into());
             }
             Timer::after(Duration::from_millis(100)).await;
         }
@@ -591,91 +649,109 @@
     Ok(())
 }
 
-fn setting(name: &str, usual: u64) -> u64 {
+/// Reads a number from an environment variable.
+fn number_from_env(name: &str, default: u64) -> u64 {
     let text = env::var(name).ok();
-    text.and_then(|text| text.parse().ok()).unwrap_or(usual)
+    text.and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-fn seeds(course: Course) -> Vec<u64> {
+/// Returns the seeds to run: those of `FAULT_SOAK_SEEDS`, by default those of CI.
+fn seeds(scenario: Scenario) -> Vec<u64> {
     let chosen = env::var("FAULT_SOAK_SEEDS").ok();
     let range = chosen.and_then(|text| {
         let (from, to) = text.split_once("..")?;
         let range: Range<u64> = from.parse().ok()?..to.parse().ok()?;
         Some(range.collect())
     });
-    range.unwrap_or_else(|| course.seeds())
+    range.unwrap_or_else(|| scenario.seeds())
 }
 
-async fn play(course: Course, seed: u64) -> TestResult {
-    let instances = setting("FAULT_SOAK_INSTANCES", INSTANCES) as usize;
+/// Runs one seed of a scenario.
+async fn run_seed(scenario: Scenario, seed: u64) -> TestResult {
+    let instances = number_from_env("FAULT_SOAK_INSTANCES", INSTANCES) as usize;
     let mut site = ProcessSite::start_behind_proxies(instances, instances * 2).await?;
     let started_at = Instant::now();
-    let board = SharedBoard::default();
+    let state = SharedState::default();
     {
-        let mut board = lock(&board);
-        board.addresses = site.instances.iter().map(|at| at.callers).collect();
-        board.sound_since = vec![Some(started_at); instances];
-        board.reset_at = vec![None; instances];
+        let mut state = lock(&state);
+        state.addresses = site.instances.iter().map(|at| at.callers).collect();
+        state.healthy_since = vec![Some(started_at); instances];
+        state.callers_reset_at = vec![None; instances];
     }
-    let callers = (0..course.callers()).map(|caller| {
+    let callers = (0..scenario.callers()).map(|caller| {
         let seed = seed * 1_000 + caller;
-        smol::spawn(call(Arc::clone(&board), course, seed))
+        smol::spawn(run_caller(Arc::clone(&state), scenario, seed))
     });
     let callers: Vec<Task<()>> = callers.collect();
     let mut rng = StdRng::seed_from_u64(seed);
     let mut active: Vec<(Fault, Instant)> = Vec::new();
-    let mut played = Vec::new();
-    for _ in 0..setting("FAULT_SOAK_STEPS", course.steps()) {
-        let fault = course.draw(&mut rng, &site);
-        let lasts = course.lasts(&mut rng, fault);
-        let gap = course.gap(&mut rng);
-        if !active.iter().any(|(other, _)| clash(fault, *other)) {
-            played.push((started_at.elapsed().as_millis(), fault, lasts.as_millis()));
-            begin(&mut site, &board, fault)?;
-            active.push((fault, Instant::now() + lasts));
+    let mut injected = Vec::new();
+    for _ in 0..number_from_env("FAULT_SOAK_STEPS", scenario.steps()) {
+        let fault = scenario.draw_fault(&mut rng, &site);
+        let duration = scenario.fault_duration(&mut rng, fault);
+        let interval = scenario.fault_interval(&mut rng);
+        if !active
+            .iter()
+            .any(|(other, _)| has_same_target(fault, *other))
+        {
+            injected.push((
+                started_at.elapsed().as_millis(),
+                fault,
+                duration.as_millis(),
+            ));
+            begin_fault(&mut site, &state, fault)?;
+            active.push((fault, Instant::now() + duration));
         }
-        pass(&mut site, &board, &mut active, Instant::now() + gap).await?;
+        end_due_faults_until(&mut site, &state, &mut active, Instant::now() + interval).await?;
     }
-    let ends_at = Instant::now();
+    let injection_ended_at = Instant::now();
     for (_, until) in &mut active {
-        *until = ends_at.min(*until);
+        *until = injection_ended_at.min(*until);
     }
     while !active.is_empty() {
-        pass(&mut site, &board, &mut active, Instant::now() + LOOK).await?;
-    }
-    if let Err(error) = recover(&mut site, seed).await {
-        print_logs(&site, &board);
-        return Err(format!("faults {played:?}: {error}").into());
-    }
-    lock(&board).is_over = true;
+        end_due_faults_until(
+            &mut site,
+            &state,
+            &mut active,
+            Instant::now() + POLL_INTERVAL,
+        )
+        .await?;
+    }
+    if let Err(error) = check_recovery(&mut site, seed).await {
+        print_logs(&site, &state);
+        return Err(format!("after the faults {injected:?}: {error}").into());
+    }
+    lock(&state).is_finished = true;
     for caller in callers {
         caller.await;
     }
-    Timer::after(QUIET).await;
-    let mut broken = broken_promises(&site, &lock(&board), started_at);
-    let left: usize = site
+    Timer::after(DRAIN_TIME).await;
+    let mut violations = promise_violations(&site, &lock(&state), started_at);
+    let running: usize = site
         .upstreams
         .iter()
         .map(|upstream| upstream.running())
         .sum();
-    if left > 0 {
-        broken.push(format!("{left} runs left"));
+    if running > 0 {
+        violations.push(format!(
+            "{running} runs still running {DRAIN_TIME:?} after the last caller had gone"
+        ));
     }
-    let asked = lock(&board).asked.len();
+    let requests = lock(&state).requests.len();
     println!(
-        "{course:?} seed {seed}: {} faults, {asked} requests, {} broken promises",
-        played.len(),
-        broken.len()
+        "{scenario:?} seed {seed}: {} faults, {requests} requests, {} broken promises",
+        injected.len(),
+        violations.len()
     );
-    if broken.is_empty() {
+    if violations.is_empty() {
         return Ok(());
     }
-    print_logs(&site, &board);
-    Err(format!("faults {played:?}: {broken:#?}").into())
+    print_logs(&site, &state);
+    Err(format!("after the faults {injected:?}: {violations:#?}").into())
 }
 
-fn print_logs(site: &ProcessSite, board: &SharedBoard) {
-    for line in &lock(board).past_logs {
+fn print_logs(site: &ProcessSite, state: &SharedState) {
+    for line in &lock(state).ended_process_logs {
         println!("{line}");
     }
     for instance in &site.instances {
@@ -685,11 +761,12 @@
     }
 }
 
-fn play_all(course: Course) {
+/// Runs all seeds of a scenario and fails if one of them failed.
+fn run_seeds(scenario: Scenario) {
     let mut failed = Vec::new();
-    for seed in seeds(course) {
-        if let Err(error) = smol::block_on(play(course, seed)) {
-            println!("{course:?} seed {seed} failed: {error}");
+    for seed in seeds(scenario) {
+        if let Err(error) = smol::block_on(run_seed(scenario, seed)) {
+            println!("{scenario:?} seed {seed} failed: {error}");
             failed.push(format!("seed {seed}: {error}"));
         }
     }
@@ -698,10 +775,10 @@
 
 #[test]
 fn promises_hold_under_random_faults() {
-    play_all(Course::ShortTasks);
+    run_seeds(Scenario::ShortTasks);
 }
 
 #[test]
 fn promises_hold_with_long_tasks() {
-    play_all(Course::LongTasks);
+    run_seeds(Scenario::LongTasks);
 }
