--- a/entry/tests/attempt_ends.rs
+++ b/entry/tests/attempt_ends.rs
@@ -1,4 +1,5 @@
-//! What a caller is told when an upstream misbehaves, against the upstream's own record.
+//! The outcome that a caller is answered when an upstream or its network fails, checked against the
+//! upstream's own record of starts.
 
 use std::time::Duration;
 
@@ -16,7 +17,7 @@
 use serde_json::json;
 use smol::Timer;
 
-/// A fault and what the caller must be told.
+/// A fault, the answer that the caller must get, and how many tasks must have started.
 struct Case<F> {
     name: &'static str,
     fault: F,
@@ -105,13 +106,13 @@
 }
 
 #[test]
-fn upstream_faults_are_told_apart() -> TestResult {
+fn upstream_faults_are_distinguished() -> TestResult {
     smol::block_on(async {
         for case in upstream_cases() {
             let site = Site::start(1).await?;
             site.upstreams[0].set_faults(case.fault);
             let answer = site.send_task(0, &short_job()).await?;
-            check(case.name, &json_of(&answer)?, case.outcome, case.reason);
+            check_outcome(case.name, &json_of(&answer)?, case.outcome, case.reason);
             let starts = site.starts();
             assert_eq!(starts.tasks, case.starts, "{}", case.name);
             assert!(starts.most_of_one <= 1, "{}", case.name);
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn network_faults_are_told_apart() -> TestResult {
+fn network_faults_are_distinguished() -> TestResult {
     smol::block_on(async {
         for case in proxy_cases() {
             let mut site = Site::without_entries(1).await?;
@@ -179,7 +180,7 @@
             site.install(1, &document(&[proxy.address()])).await?;
             site.start_entry("entry-a", NORTH, json!({})).await?;
             let answer = site.send_task(0, &short_job()).await?;
-            check(case.name, &json_of(&answer)?, case.outcome, case.reason);
+            check_outcome(case.name, &json_of(&answer)?, case.outcome, case.reason);
             assert!(proxy.counters().connections > 0, "{}", case.name);
             assert_eq!(site.starts().tasks, case.starts, "{}", case.name);
         }
@@ -196,14 +197,14 @@
         site.install(1, &document(&[proxy.address()])).await?;
         site.start_entry("entry-a", NORTH, json!({})).await?;
         let answer = site.send_task(0, &short_job()).await?;
-        check("refused connection", &json_of(&answer)?, "not_run", "");
+        check_outcome("refused connection", &json_of(&answer)?, "not_run", "");
         assert_eq!(site.starts().tasks, 0);
         Ok(())
     })
 }
 
 #[test]
-fn answers_without_proof_prove_nothing() -> TestResult {
+fn unproven_answers_leave_the_outcome_unknown() -> TestResult {
     smol::block_on(async {
         let heads = [
             "200 OK\r\nContent-Length: 2",
@@ -220,17 +221,18 @@
             site.install(1, &document(&[upstream.address()])).await?;
             site.start_entry("entry-a", NORTH, json!({})).await?;
             let answer = site.send_task(0, &short_job()).await?;
-            check(head, &json_of(&answer)?, "failed", "unknown");
-            Timer::after(AFTERWARDS).await;
+            check_outcome(head, &json_of(&answer)?, "failed", "unknown");
+            Timer::after(SETTLE_TIME).await;
             assert_eq!(upstream.heads().len(), 1, "{head}");
         }
         Ok(())
     })
 }
 
-const AFTERWARDS: Duration = Duration::from_millis(100);
+/// Time in which a request that is wrongly repeated would arrive.
+const SETTLE_TIME: Duration = Duration::from_millis(100);
 
-fn check(name: &str, body: &Value, outcome: &str, reason: &str) {
+fn check_outcome(name: &str, body: &Value, outcome: &str, reason: &str) {
     assert_eq!(body["outcome"], outcome, "{name}: {body}");
     if !reason.is_empty() {
         assert_eq!(body["reason"], reason, "{name}: {body}");
--- a/entry/tests/caller_limits.rs
+++ b/entry/tests/caller_limits.rs
@@ -1,4 +1,4 @@
-//! The limits of the caller interface, and callers that go away.
+//! The limits of the caller interface, and callers that disconnect.
 
 use std::io::Read;
 use std::io::Write;
@@ -16,9 +16,11 @@
 use serde_json::json;
 use smol::Timer;
 
-const SECONDS: Duration = Duration::from_secs(5);
+/// Longer than each time limit of the site.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-async fn limited_site() -> Result<Site, Box<dyn std::error::Error>> {
+/// Starts an entry with low limits and one upstream.
+async fn start_limited_site() -> Result<Site, Box<dyn std::error::Error>> {
     let mut site = Site::without_entries(1).await?;
     let document = site.document();
     site.install(1, &document).await?;
@@ -35,27 +37,27 @@
     Ok(site)
 }
 
-/// Sends bytes and reads until the other side closes.
+/// Sends bytes and reads until the connection is closed.
 fn exchange(address: SocketAddr, request: &[u8]) -> std::io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(SECONDS))?;
-    // The other side may refuse before it has read all.
+    stream.set_read_timeout(Some(EXCHANGE_TIMEOUT))?;
+    // The entry may refuse before it has read everything.
     let _ = stream.write_all(request);
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     Ok(String::from_utf8_lossy(&answer).into_owned())
 }
 
-/// A request whose body is said to hold `stated_bytes`.
-fn raw_task(body: &str, stated_bytes: usize) -> String {
+/// Returns a request with the given `Content-Length`, which may differ from the length of its body.
+fn raw_task(body: &str, content_length_bytes: usize) -> String {
     let head = "POST /v1/tasks HTTP/1.1\r\nHost: a\r\nContent-Length: ";
-    format!("{head}{stated_bytes}\r\n\r\n{body}")
+    format!("{head}{content_length_bytes}\r\n\r\n{body}")
 }
 
 #[test]
 fn long_bodies_are_refused() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let mut long = job(1, 1);
         long["inputs"] = json!(["x".repeat(200_000)]);
         let answer = site.send_task(0, &long).await?;
@@ -75,7 +77,7 @@
 #[test]
 fn too_many_tasks_are_refused() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let session = site.open_session(0).await?;
         for (number, tasks, status) in [(1, 480, 200), (2, 481, 400)] {
             let path = format!("/v1/sessions/{session}/jobs/{number}");
@@ -93,14 +95,14 @@
 #[test]
 fn slow_and_cut_bodies_run_nothing() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let address = site.entries[0].callers;
         let body = job(1, 1).to_string();
         let request = raw_task(&body, body.len() + 1);
         let started_at = Instant::now();
         let answer = exchange(address, request.as_bytes())?;
         assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
-        assert!(started_at.elapsed() < SECONDS);
+        assert!(started_at.elapsed() < EXCHANGE_TIMEOUT);
 
         let mut cut = TcpStream::connect(address)?;
         cut.write_all(request.as_bytes())?;
@@ -112,9 +114,9 @@
 }
 
 #[test]
-fn long_heads_are_refused() -> TestResult {
+fn long_heads_close_the_connection() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let long = "x".repeat(10_000);
         let request = format!("POST /v1/tasks HTTP/1.1\r\nHost: a\r\nLong: {long}\r\n\r\n");
         let answer = exchange(site.entries[0].callers, request.as_bytes())?;
@@ -127,15 +129,15 @@
 #[test]
 fn connections_are_bounded() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let address = site.entries[0].callers;
-        let kept: Vec<TcpStream> = (0..60)
+        let open_connections: Vec<TcpStream> = (0..60)
             .map(|_| TcpStream::connect(address))
             .collect::<Result<_, _>>()?;
         Timer::after(Duration::from_millis(300)).await;
         let answer = exchange(address, b"GET /v1/none HTTP/1.1\r\nHost: a\r\n\r\n")?;
         assert_eq!(answer, "", "closed without an answer");
-        drop(kept);
+        drop(open_connections);
         Timer::after(Duration::from_millis(300)).await;
         let answer = site.send_task(0, &job(1, 1)).await?;
         assert_eq!(answer.status, 200, "{:?}", answer.body);
@@ -146,12 +148,12 @@
 #[test]
 fn idle_connections_are_closed() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let address = site.entries[0].callers;
         for start in ["", "POST /v1/tasks HTTP/1.1\r\nHost"] {
             let started_at = Instant::now();
             assert_eq!(exchange(address, start.as_bytes())?, "");
-            assert!(started_at.elapsed() < SECONDS, "{start}");
+            assert!(started_at.elapsed() < EXCHANGE_TIMEOUT, "{start}");
         }
         let longer_than_idle = site.send_task(0, &job(1, 3_000)).await?;
         assert_eq!(longer_than_idle.status, 200, "{:?}", longer_than_idle.body);
@@ -160,16 +162,16 @@
 }
 
 #[test]
-fn endless_sender_is_cut() -> TestResult {
+fn endless_sender_is_disconnected() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let body = job(1, 2_000).to_string();
         let mut stream = TcpStream::connect(site.entries[0].callers)?;
-        stream.set_write_timeout(Some(SECONDS))?;
+        stream.set_write_timeout(Some(EXCHANGE_TIMEOUT))?;
         stream.write_all(raw_task(&body, body.len()).as_bytes())?;
         let junk = [b'x'; 64 * 1024];
         let sent = (0..1_000).take_while(|_| stream.write_all(&junk).is_ok());
-        assert!(sent.count() < 1_000, "all was taken");
+        assert!(sent.count() < 1_000, "the entry read everything");
         Ok(())
     })
 }
@@ -177,7 +179,7 @@
 #[test]
 fn dropped_request_frees_its_task() -> TestResult {
     smol::block_on(async {
-        let site = limited_site().await?;
+        let site = start_limited_site().await?;
         let body = job(1, 10_000).to_string();
         let request = raw_task(&body, body.len());
         let mut stream = TcpStream::connect(site.entries[0].callers)?;
--- a/entry/tests/data_centre_cut.rs
+++ b/entry/tests/data_centre_cut.rs
@@ -1,4 +1,5 @@
-//! A data centre cut off from the other, from the platform and from both, and joined again.
+//! A data centre that is cut off from the other one, from the platform or from both keeps serving,
+//! and is then reconnected.
 
 use std::error::Error;
 use std::time::Duration;
@@ -21,11 +22,12 @@
 const SOUTH_ENTRY: usize = 1;
 const TASKS: usize = 12;
 const OVERFLOW_TASKS: usize = 48;
-const CUT_FOR: Duration = Duration::from_secs(3);
-const REJOIN_TRIES: usize = 50;
-const BETWEEN_TRIES: Duration = Duration::from_millis(200);
+const CUT_DURATION: Duration = Duration::from_secs(3);
+const MAX_RESUBMISSIONS: usize = 50;
+const RESUBMIT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Two data centres with an entry and two upstreams each, and proxies on every way between.
+/// Two data centres with an entry and two upstreams each. Proxies carry the messages between the
+/// entries, and the south's requests to the platform.
 struct TwoCentres {
     site: Site,
     to_platform: FaultProxy,
@@ -33,7 +35,7 @@
     to_south: FaultProxy,
 }
 
-/// What the south is cut off from.
+/// What the southern data centre is cut off from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Cut {
     Sibling,
@@ -44,7 +46,7 @@
 impl TwoCentres {
     async fn start() -> Result<Self, Box<dyn Error>> {
         let mut site = Site::without_entries(4).await?;
-        site.install(1, &two_centres(&site)).await?;
+        site.install(1, &two_centre_document(&site)).await?;
         let to_platform = FaultProxy::start(site.platform.address()).await?;
         let north_address = almondhead_testsupport::free_address()?;
         let south_address = almondhead_testsupport::free_address()?;
@@ -87,19 +89,26 @@
         Ok(())
     }
 
-    /// Pieces of data that the cut kept back, between the entries and before the platform.
-    fn kept_back(&self) -> [u64; 2] {
-        let between = [&self.to_north, &self.to_south];
-        let between = between.iter().map(|proxy| proxy.counters().black_holed);
-        [between.sum(), self.to_platform.counters().black_holed]
+    /// Returns how many pieces of data the cut held back: between the entries, and to the platform.
+    fn held_back(&self) -> [u64; 2] {
+        let entry_proxies = [&self.to_north, &self.to_south];
+        let between_entries = entry_proxies
+            .iter()
+            .map(|proxy| proxy.counters().black_holed);
+        [
+            between_entries.sum(),
+            self.to_platform.counters().black_holed,
+        ]
     }
 
     async fn revision(&self, entry: usize) -> Result<u64, Box<dyn Error>> {
         let revision = self.site.status_of(entry, "document_revision").await?;
-        Ok(revision.as_u64().ok_or("no revision")?)
+        Ok(revision
+            .as_u64()
+            .ok_or("document_revision is not a number")?)
     }
 
-    /// Submits a job of a session at an entry and checks that it is answered whole.
+    /// Submits a job of a session at an entry and checks that it is complete and ran once.
     async fn check_served(&self, entry: usize, session: &str, marker: &str) -> TestResult {
         let address = self.site.entries[entry].callers;
         let body = marked_job(marker, TASKS, 20);
@@ -109,27 +118,27 @@
         Ok(())
     }
 
-    /// Submits a job again at the other entry until its home is reached, and gives the answer.
-    async fn rejoin(&self, entry: usize, session: &str, marker: &str) -> TestResult {
+    /// Resubmits a job at the other entry until the entry reaches the job's home again.
+    async fn resubmit(&self, entry: usize, session: &str, marker: &str) -> TestResult {
         let address = self.site.entries[entry].callers;
         let body = marked_job(marker, TASKS, 20);
-        let mut last = String::new();
-        for _ in 0..REJOIN_TRIES {
+        let mut last_answer = String::new();
+        for _ in 0..MAX_RESUBMISSIONS {
             let answer = self.site.send(put_job(address, session, 1, &body)).await?;
             if answer.status == 200 {
                 return Ok(());
             }
             let answer = json_of(&answer)?;
             assert_eq!(answer["outcome"], "failed", "{answer}");
-            last = answer.to_string();
-            Timer::after(BETWEEN_TRIES).await;
+            last_answer = answer.to_string();
+            Timer::after(RESUBMIT_INTERVAL).await;
         }
-        Err(format!("{marker} did not rejoin: {last}").into())
+        Err(format!("{marker} was not answered by its home: {last_answer}").into())
     }
 }
 
-/// The site's document with its upstreams split between the data centres.
-fn two_centres(site: &Site) -> Document {
+/// Returns the site's document with its upstreams split between the data centres.
+fn two_centre_document(site: &Site) -> Document {
     let mut document = site.document();
     for upstream in document.upstreams.iter_mut().skip(2) {
         SOUTH.clone_into(&mut upstream.data_centre);
@@ -137,8 +146,9 @@
     document
 }
 
-/// Cuts the south off, checks what goes on, joins it again, and checks that nothing was undone.
-async fn cut_and_join(cut: Cut) -> TestResult {
+/// Cuts the south off and checks that both data centres keep serving; then reconnects it and checks
+/// that no task runs again and that the newer document stays in force.
+async fn cut_and_heal(cut: Cut) -> TestResult {
     let centres = TwoCentres::start().await?;
     let site = &centres.site;
     let north_session = site.open_session(NORTH_ENTRY).await?;
@@ -153,7 +163,7 @@
     site.wait_for_starts("overflow", 1).await?;
     centres.cut(cut);
     let new_session = site.open_session(SOUTH_ENTRY).await?;
-    Timer::after(CUT_FOR).await;
+    Timer::after(CUT_DURATION).await;
 
     centres
         .check_served(NORTH_ENTRY, &north_session, "north")
@@ -164,7 +174,7 @@
     centres
         .check_served(SOUTH_ENTRY, &new_session, "new")
         .await?;
-    site.install(2, &two_centres(site)).await?;
+    site.install(2, &two_centre_document(site)).await?;
     site.within_seconds(NORTH_ENTRY, "document_revision", 2)
         .await?;
     if cut == Cut::Both {
@@ -173,19 +183,27 @@
         site.within_seconds(SOUTH_ENTRY, "document_revision", 2)
             .await?;
     }
-    let [between, before_platform] = centres.kept_back();
-    assert_eq!(between > 0, cut != Cut::Platform, "{cut:?}: {between}");
-    assert_eq!(before_platform > 0, cut != Cut::Sibling, "{cut:?}");
-    let answered = running.await?;
+    let [between_entries, to_platform] = centres.held_back();
+    assert_eq!(
+        between_entries > 0,
+        cut != Cut::Platform,
+        "{cut:?}: {between_entries}"
+    );
+    assert_eq!(to_platform > 0, cut != Cut::Sibling, "{cut:?}");
+    let first_answer = running.await?;
 
     centres.heal().await?;
     site.within_seconds(SOUTH_ENTRY, "document_revision", 2)
         .await?;
-    centres.rejoin(SOUTH_ENTRY, &north_session, "north").await?;
-    centres.rejoin(NORTH_ENTRY, &south_session, "south").await?;
-    centres.rejoin(NORTH_ENTRY, &new_session, "new").await?;
+    centres
+        .resubmit(SOUTH_ENTRY, &north_session, "north")
+        .await?;
+    centres
+        .resubmit(NORTH_ENTRY, &south_session, "south")
+        .await?;
+    centres.resubmit(NORTH_ENTRY, &new_session, "new").await?;
     let again = site.send(overflow()).await?;
-    assert_eq!(again.body, answered.body);
+    assert_eq!(again.body, first_answer.body);
     for entry in [NORTH_ENTRY, SOUTH_ENTRY] {
         assert_eq!(centres.revision(entry).await?, 2);
     }
@@ -194,15 +212,15 @@
 
 #[test]
 fn cut_off_from_the_other() -> TestResult {
-    smol::block_on(cut_and_join(Cut::Sibling))
+    smol::block_on(cut_and_heal(Cut::Sibling))
 }
 
 #[test]
 fn cut_off_from_the_platform() -> TestResult {
-    smol::block_on(cut_and_join(Cut::Platform))
+    smol::block_on(cut_and_heal(Cut::Platform))
 }
 
 #[test]
 fn cut_off_from_both() -> TestResult {
-    smol::block_on(cut_and_join(Cut::Both))
+    smol::block_on(cut_and_heal(Cut::Both))
 }
--- a/entry/tests/document_install.rs
+++ b/entry/tests/document_install.rs
@@ -1,4 +1,4 @@
-//! Documents come into force, stay in force, and let instances leave.
+//! Installation of documents: revisions, refused documents, outages, and instances that leave.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -17,16 +17,24 @@
 use serde_json::json;
 use smol::Timer;
 
-const WITHIN_SECONDS: Duration = Duration::from_secs(5);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Waits at most five seconds for a field of an entry's status.
-async fn within_seconds(site: &Site, entry: usize, field: &str, wanted: u64) -> TestResult {
+/// Waits until a field of an entry's status has a value, at most for `STATUS_TIMEOUT`.
+async fn wait_for_status_in_time(
+    site: &Site,
+    entry: usize,
+    field: &str,
+    wanted: u64,
+) -> TestResult {
     let waited = site.wait_for_status(entry, field, wanted);
-    let late = async {
-        Timer::after(WITHIN_SECONDS).await;
-        Err(format!("{field} is not {wanted} within seconds").into())
+    let timed_out = async {
+        Timer::after(STATUS_TIMEOUT).await;
+        Err(
+            format!("{field} of entry {entry} did not become {wanted} within {STATUS_TIMEOUT:?}")
+                .into(),
+        )
     };
-    futures_lite::future::or(waited, late).await
+    futures_lite::future::or(waited, timed_out).await
 }
 
 #[test]
@@ -38,7 +46,7 @@
         document.teams[0].name = "couriers".to_owned();
         site.install(2, &document).await?;
         for entry in 0..2 {
-            within_seconds(&site, entry, "document_revision", 2).await?;
+            wait_for_status_in_time(&site, entry, "document_revision", 2).await?;
             let refused = site.send_task(entry, &job(1, 1)).await?;
             assert_eq!(json_of(&refused)?["reason"], "unknown_team");
         }
@@ -52,15 +60,15 @@
         let site = Site::start(1).await?;
         let document = site.document();
         site.install(5, &document).await?;
-        within_seconds(&site, 0, "document_revision", 5).await?;
+        wait_for_status_in_time(&site, 0, "document_revision", 5).await?;
         site.install(4, &document).await?;
         Timer::after(Duration::from_secs(3)).await;
-        within_seconds(&site, 0, "document_revision", 5).await
+        wait_for_status_in_time(&site, 0, "document_revision", 5).await
     })
 }
 
 #[test]
-fn broken_document_changes_nothing() -> TestResult {
+fn invalid_document_changes_nothing() -> TestResult {
     smol::block_on(async {
         let mut site = Site::start(1).await?;
         let mut document = site.document();
@@ -68,9 +76,9 @@
         site.install(2, &document).await?;
         let process = &mut site.entries[0].process;
         process
-            .wait_for_line("document refused", WITHIN_SECONDS)
+            .wait_for_line("document refused", STATUS_TIMEOUT)
             .await?;
-        within_seconds(&site, 0, "document_revision", 1).await?;
+        wait_for_status_in_time(&site, 0, "document_revision", 1).await?;
         let answer = site.send_task(0, &job(1, 1)).await?;
         assert_eq!(answer.status, 200, "{:?}", answer.body);
         Ok(())
@@ -96,13 +104,14 @@
     })
 }
 
-fn unix_ms_after(span: Duration) -> u64 {
+/// Returns the Unix time after a delay from now, in milliseconds.
+fn unix_ms_after(delay: Duration) -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-    let then = since_epoch.unwrap_or_default() + span;
+    let then = since_epoch.unwrap_or_default() + delay;
     u64::try_from(then.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Submits a job, makes the entry leave, and checks that the job is answered and no other taken.
+/// Submits a job, makes the entry leave, and checks that it answers the job and refuses others.
 async fn check_leaves(site: &Site, leave: impl AsyncFnOnce(&Site) -> TestResult) -> TestResult {
     let request = site.request(0, Method::POST, "/v1/tasks");
     let running = site.send(request.with_body(job(1, 7_000).to_string()));
@@ -116,7 +125,7 @@
             }
             Timer::after(Duration::from_millis(50)).await;
         }
-        Err("still takes work".into())
+        Err("the leaving entry still accepts tasks".into())
     };
     let (running, left) = futures_lite::future::zip(running, left).await;
     left?;
--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -82,7 +82,7 @@
 
 /// How long after the last caller has gone runs may remain: a lease and the time until its expiry
 /// is noticed.
-const DRAIN_TIME: Duration = Duration::from_secs(3);
+const RUN_END_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Which jobs are submitted and which faults are injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -725,7 +725,7 @@
     for caller in callers {
         caller.await;
     }
-    Timer::after(DRAIN_TIME).await;
+    Timer::after(RUN_END_TIMEOUT).await;
     let mut violations = promise_violations(&site, &lock(&state), started_at);
     let running: usize = site
         .upstreams
@@ -734,7 +734,7 @@
         .sum();
     if running > 0 {
         violations.push(format!(
-            "{running} runs still running {DRAIN_TIME:?} after the last caller had gone"
+            "{running} runs still running {RUN_END_TIMEOUT:?} after the last caller had gone"
         ));
     }
     let requests = lock(&state).requests.len();
--- a/entry/tests/frozen_process.rs
+++ b/entry/tests/frozen_process.rs
@@ -1,4 +1,4 @@
-//! An entry that was frozen starts nothing past the deadline.
+//! An entry that was suspended (`SIGSTOP`) starts no task past the deadline after it resumes.
 
 use std::time::Duration;
 
--- a/entry/tests/graceful_stop.rs
+++ b/entry/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request in flight.
+//! A planned stop aborts no request in flight.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,22 +19,28 @@
 use smol::Timer;
 
 const CALLERS: u64 = 20;
-const CALLS_OF_ONE: usize = 200;
+const MAX_CALLS_PER_CALLER: usize = 200;
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
-const BEFORE_STOP: Duration = Duration::from_millis(300);
+/// Time between the start of the load, the first signal and the second.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(300);
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 const STOP_NOTICE_MS: u64 = 1_000;
 
-/// A caller that submits again and again until it is refused; an exchange without end is an error.
-fn caller(client: &Arc<HttpClient>, address: SocketAddr, number: u64) -> Task<Vec<HttpResponse>> {
+/// Submits one task after another until one is refused, and returns the answers. Panics where a
+/// request fails without an answer.
+fn submit_until_refused(
+    client: &Arc<HttpClient>,
+    address: SocketAddr,
+    number: u64,
+) -> Task<Vec<HttpResponse>> {
     let client = Arc::clone(client);
     smol::spawn(async move {
         let mut answers = Vec::new();
-        for _ in 0..CALLS_OF_ONE {
+        for _ in 0..MAX_CALLS_PER_CALLER {
             let request = HttpRequest::new(Method::POST, address, "/v1/tasks");
             let request = request.with_body(job(1, 20 + number * 5).to_string());
             let sent = client.send(request, CALL_TIMEOUT).await;
-            let answer = sent.expect("a planned stop cuts no exchange");
+            let answer = sent.expect("a planned stop aborts no request");
             let refused = answer.status != 200;
             answers.push(answer);
             if refused {
@@ -46,7 +52,7 @@
 }
 
 #[test]
-fn stop_under_load_cuts_nothing() -> TestResult {
+fn stop_under_load_aborts_nothing() -> TestResult {
     smol::block_on(async {
         let mut site = Site::without_entries(4).await?;
         let document = site.document();
@@ -59,7 +65,7 @@
         }));
         let address = site.entries[0].callers;
         let callers: Vec<_> = (0..CALLERS)
-            .map(|number| caller(&client, address, number))
+            .map(|number| submit_until_refused(&client, address, number))
             .collect();
         let session = site.open_session(0).await?;
         let long_job = site.request(0, Method::PUT, &format!("/v1/sessions/{session}/jobs/1"));
@@ -69,10 +75,10 @@
             async move { client.send(long_job, CALL_TIMEOUT).await }
         });
 
-        Timer::after(BEFORE_STOP).await;
+        Timer::after(SIGNAL_INTERVAL).await;
         let process = &mut site.entries[0].process;
         process.terminate()?;
-        Timer::after(BEFORE_STOP).await;
+        Timer::after(SIGNAL_INTERVAL).await;
         process.terminate()?;
         let status = process.wait_for_exit(STOP_TIMEOUT).await?;
         assert!(status.success(), "{status}");
--- a/entry/tests/key_claims.rs
+++ b/entry/tests/key_claims.rs
@@ -1,4 +1,4 @@
-//! Jobs by idempotency key, against the platform's faults.
+//! Jobs submitted under an idempotency key while the platform fails.
 
 use std::error::Error;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     with_header(request, "idempotency-key", key).with_body(job(2, 5).to_string())
 }
 
-async fn two_entries() -> Result<Site, Box<dyn Error>> {
+async fn start_two_entries() -> Result<Site, Box<dyn Error>> {
     let mut site = Site::start(2).await?;
     site.start_entry("entry-b", NORTH, json!({})).await?;
     site.wait_for_siblings(1).await?;
@@ -33,7 +33,7 @@
 #[test]
 fn second_entry_finds_the_home() -> TestResult {
     smol::block_on(async {
-        let site = two_entries().await?;
+        let site = start_two_entries().await?;
         let first = site.send(submit(&site, 0, "order-1")).await?;
         assert_eq!(first.status, 200, "{:?}", first.body);
         let again = site.send(submit(&site, 1, "order-1")).await?;
@@ -68,7 +68,7 @@
         assert_eq!(single.status, 200, "{:?}", single.body);
 
         site.platform.set_faults(PlatformFaults::default());
-        let retried = submit_until_taken(&site, "order-1").await?;
+        let retried = submit_until_accepted(&site, "order-1").await?;
         assert_eq!(retried["outcome"], "complete");
         assert_eq!(site.starts().tasks, 3);
         assert_eq!(site.starts().most_of_one, 1);
@@ -76,8 +76,8 @@
     })
 }
 
-/// Submits again as the answers ask, until the job is not refused.
-async fn submit_until_taken(site: &Site, key: &str) -> Result<Value, Box<dyn Error>> {
+/// Resubmits a job after each answer's `retry_after_ms` until it is accepted.
+async fn submit_until_accepted(site: &Site, key: &str) -> Result<Value, Box<dyn Error>> {
     for _ in 0..10 {
         let body = json_of(&site.send(submit(site, 0, key)).await?)?;
         let Some(retry_after_ms) = body["retry_after_ms"].as_u64() else {
@@ -85,13 +85,13 @@
         };
         Timer::after(Duration::from_millis(retry_after_ms)).await;
     }
-    Err("refused ten times".into())
+    Err("the job was refused ten times".into())
 }
 
 #[test]
 fn lost_answers_run_nothing_twice() -> TestResult {
     smol::block_on(async {
-        let site = two_entries().await?;
+        let site = start_two_entries().await?;
         site.platform.set_faults(PlatformFaults {
             apply_then_lose: true,
             ..PlatformFaults::default()
@@ -100,7 +100,7 @@
         let first = json_of(&first)?;
         site.platform.set_faults(PlatformFaults::default());
         assert!(site.platform.counters().lost_answers > 0);
-        let again = submit_until_taken(&site, "order-1").await?;
+        let again = submit_until_accepted(&site, "order-1").await?;
         assert_eq!(again["outcome"], "complete", "{first} then {again}");
         let through_other = site.send(submit(&site, 1, "order-1")).await?;
         assert_eq!(json_of(&through_other)?, again);
