--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -1,4 +1,4 @@
-//! Whole processes that dispatch leased runs, against stand-ins of the operators' platform.
+//! Entry processes that dispatch leased runs, tested against stand-ins for the operators' platform.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,14 +17,20 @@
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const CALLER_WAIT: Duration = Duration::from_millis(1_500);
 
-async fn ask(site: &ProcessSite, instance: usize, job: u64, tasks: u32) -> Option<CallerAnswer> {
+/// Submits a job at an instance; returns none without an answer.
+async fn submit_job(
+    site: &ProcessSite,
+    instance: usize,
+    job: u64,
+    tasks: u32,
+) -> Option<CallerAnswer> {
     let path = format!("/look/{job:016x}");
     let address = site.instances[instance].callers;
     let job = run_job(tasks, 6_800, 60);
     submit(address, &path, &job, CALLER_WAIT).await.ok()
 }
 
-/// How often each task was started, over all upstreams.
+/// Returns how often each task was started on all upstreams together.
 fn starts(site: &ProcessSite) -> BTreeMap<String, u64> {
     let mut starts = BTreeMap::new();
     for upstream in &site.upstreams {
@@ -45,7 +51,7 @@
     smol::block_on(async {
         let site = ProcessSite::start(2, 4).await?;
         for job in 0..10 {
-            let answer = ask(&site, job as usize % 2, job, 4).await;
+            let answer = submit_job(&site, job as usize % 2, job, 4).await;
             assert!(is_completed(&answer), "{answer:?}");
         }
         let starts = starts(&site);
@@ -60,7 +66,7 @@
 }
 
 #[test]
-fn instance_without_an_intended_state_says_so() -> TestResult {
+fn instance_without_an_intended_state_refuses_jobs() -> TestResult {
     smol::block_on(async {
         let mut site = ProcessSite::empty().await?;
         site.store.set_fault(StoreFault::Silent);
@@ -70,7 +76,7 @@
             .wait_for_line("started", START_TIMEOUT)
             .await?;
         site.instances.push(instance);
-        let answer = ask(&site, 0, 1, 1).await.expect("an answer");
+        let answer = submit_job(&site, 0, 1, 1).await.expect("an answer");
         assert_eq!(answer.status, 503);
         assert_eq!(answer.reason.as_deref(), Some("no_intended_state"));
         assert!(answer.retry_after_s.is_some());
@@ -79,14 +85,14 @@
 }
 
 #[test]
-fn store_away_does_not_stop_the_service() -> TestResult {
+fn store_outage_does_not_stop_the_service() -> TestResult {
     smol::block_on(async {
         let site = ProcessSite::start(2, 4).await?;
         for fault in [StoreFault::Silent, StoreFault::Busy] {
             site.store.set_fault(fault);
             for job in 0..6 {
                 Timer::after(Duration::from_millis(300)).await;
-                let answer = ask(&site, job as usize % 2, 1_000 + job, 4).await;
+                let answer = submit_job(&site, job as usize % 2, 1_000 + job, 4).await;
                 assert!(is_completed(&answer), "{fault:?}: {answer:?}");
             }
             site.store.set_fault(StoreFault::None);
@@ -101,7 +107,7 @@
         let site = ProcessSite::start(2, 4).await?;
         for (job, fate) in [(1, OrderFate::AnswerLost), (2, OrderFate::Lost)] {
             site.upstreams[0].set_fate(fate);
-            let answer = ask(&site, 0, job, 8).await;
+            let answer = submit_job(&site, 0, job, 8).await;
             site.upstreams[0].set_fate(OrderFate::Answered);
             assert!(
                 answer.is_some_and(|answer| answer.status != 429),
@@ -122,7 +128,7 @@
 fn stopping_instance_answers_and_leaves() -> TestResult {
     smol::block_on(async {
         let mut site = ProcessSite::start(2, 4).await?;
-        let asked = ask(&site, 0, 1, 8);
+        let answered = submit_job(&site, 0, 1, 8);
         let process = &site.instances[0].process;
         let id = process.id();
         let stop = async {
@@ -131,7 +137,7 @@
                 .args(["-TERM", &id.to_string()])
                 .status()
         };
-        let (answer, stopped) = futures_lite::future::zip(asked, stop).await;
+        let (answer, stopped) = futures_lite::future::zip(answered, stop).await;
         assert!(stopped?.success());
         let lines = site
             .instances
@@ -144,9 +150,9 @@
             assert!(Instant::now() < until, "still running");
             Timer::after(Duration::from_millis(50)).await;
         }
-        // Its upstreams belong to the other one now.
+        // After this wait the other instance has taken over its upstreams.
         Timer::after(Duration::from_millis(1_500)).await;
-        let answer = ask(&site, 1, 2, 8).await;
+        let answer = submit_job(&site, 1, 2, 8).await;
         assert!(is_completed(&answer), "{answer:?}");
         Ok(())
     })
@@ -164,7 +170,7 @@
         site.wait_until_ready(0).await?;
         Timer::after(Duration::from_millis(1_000)).await;
         for job in 0..4 {
-            let answer = ask(&site, job as usize % 2, 10 + job, 8).await;
+            let answer = submit_job(&site, job as usize % 2, 10 + job, 8).await;
             assert!(is_completed(&answer), "{answer:?}");
         }
         Ok(())
@@ -172,10 +178,10 @@
 }
 
 #[test]
-fn logs_and_metrics_tell_of_a_job() -> TestResult {
+fn job_appears_in_logs_and_metrics() -> TestResult {
     smol::block_on(async {
         let site = ProcessSite::start(1, 2).await?;
-        let answer = ask(&site, 0, 0xabc, 2).await;
+        let answer = submit_job(&site, 0, 0xabc, 2).await;
         assert!(is_completed(&answer), "{answer:?}");
         Timer::after(Duration::from_millis(200)).await;
         let lines = site.instances[0].process.output();
@@ -203,28 +209,28 @@
             "{text}"
         );
         assert!(text.contains("almondhead_order_seconds_bucket"), "{text}");
-        // Callers of long jobs wait for more than ten seconds.
+        // Callers of long jobs wait for more than ten seconds, which a bucket has to show.
         assert!(text.contains("le=\"12\""), "{text}");
         Ok(())
     })
 }
 
-/// Guards against a job that a frozen instance takes in when it goes on, although its caller has
-/// left and has sent the job to another one.
+/// Guards against a job that runs twice: a suspended instance accepted it on resuming, although its
+/// caller had disconnected and submitted it to another instance.
 #[test]
 fn request_whose_caller_left_a_frozen_instance_starts_nothing() -> TestResult {
     smol::block_on(async {
         let mut site = ProcessSite::start(2, 4).await?;
         site.instances[0].process.freeze()?;
-        let left = or(ask(&site, 0, 7, 4), async {
+        let abandoned = or(submit_job(&site, 0, 7, 4), async {
             Timer::after(Duration::from_millis(300)).await;
             None
         });
-        assert!(left.await.is_none());
+        assert!(abandoned.await.is_none());
         site.instances[0].process.thaw()?;
         Timer::after(Duration::from_millis(500)).await;
         assert!(starts(&site).is_empty(), "{:?}", starts(&site));
-        let answer = ask(&site, 0, 8, 4).await;
+        let answer = submit_job(&site, 0, 8, 4).await;
         assert!(is_completed(&answer), "{answer:?}");
         Ok(())
     })
--- a/entry/tests/leased_stop.rs
+++ b/entry/tests/leased_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an instance that dispatches leased runs, while callers wait for seconds.
+//! A planned stop of an instance that dispatches leased runs, while callers wait several seconds.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,83 +10,87 @@
 use futures_lite::future::zip;
 use smol::Timer;
 
-/// The grace of the site's instances.
-const GRACE: Duration = Duration::from_secs(6);
+/// `stop_grace_ms` of the site's instances.
+const STOP_GRACE: Duration = Duration::from_secs(6);
 
 const CALLER_WAIT: Duration = Duration::from_secs(20);
 
 const PATH: &str = "/look/00000000000000e1";
 
-/// How long before the stop the caller asks.
-const BEFORE_STOP: Duration = Duration::from_millis(300);
+/// How long after the job was submitted its instance is stopped.
+const STOP_DELAY: Duration = Duration::from_millis(300);
 
-/// How long after their start instances take to know each other's upstreams.
-const ACQUAINTANCE: Duration = Duration::from_secs(1);
+/// How long after their start instances need to learn of each other's upstreams.
+const DISCOVERY_TIME: Duration = Duration::from_secs(1);
 
+/// Starts two instances and four upstreams whose tasks run for `run_time`.
 async fn start(run_time: Duration) -> Result<ProcessSite, Box<dyn std::error::Error>> {
     let site = ProcessSite::start(2, 4).await?;
     for upstream in &site.upstreams {
         upstream.set_run_time(run_time);
     }
-    Timer::after(ACQUAINTANCE).await;
+    Timer::after(DISCOVERY_TIME).await;
     Ok(site)
 }
 
-/// Guards against connections that are cut when the listener closes.
+/// Guards against connections to callers that are closed together with the listener.
 #[test]
-fn job_of_seconds_is_finished() -> TestResult {
+fn job_within_the_grace_is_finished() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_millis(3_500)).await?;
         let address = site.instances[0].callers;
         let job = run_job(4, 6_800, 3_500);
-        let asked = submit(address, PATH, &job, CALLER_WAIT);
+        let answered = submit(address, PATH, &job, CALLER_WAIT);
         let process = &mut site.instances[0].process;
         let stop = async {
-            Timer::after(BEFORE_STOP).await;
+            Timer::after(STOP_DELAY).await;
             process.terminate()
         };
-        let (answer, stopped) = zip(asked, stop).await;
+        let (answer, stopped) = zip(answered, stop).await;
         stopped?;
         assert_eq!(answer?.state.as_deref(), Some("completed"));
         let starts = site.upstreams.iter().flat_map(|upstream| upstream.starts());
         assert_eq!(starts.map(|(_, times)| times).sum::<u64>(), 4);
-        site.instances[0].process.wait_for_exit(GRACE).await?;
+        site.instances[0].process.wait_for_exit(STOP_GRACE).await?;
         Ok(())
     })
 }
 
-/// Guards against connections that are cut when the process exits.
+/// Guards against connections to callers that are closed, unanswered, by the exit of the process.
 #[test]
 fn job_beyond_the_grace_gets_its_answer() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_secs(12)).await?;
         let address = site.instances[0].callers;
         let job = run_job(4, 6_800, 12_000);
-        let asked = submit(address, PATH, &job, CALLER_WAIT);
+        let answered = submit(address, PATH, &job, CALLER_WAIT);
         let process = &mut site.instances[0].process;
         let stop = async {
-            Timer::after(BEFORE_STOP).await;
+            Timer::after(STOP_DELAY).await;
             let stopped_at = Instant::now();
             process.terminate()?;
-            process.wait_for_exit(GRACE).await?;
+            process.wait_for_exit(STOP_GRACE).await?;
             Ok::<_, almondhead_testsupport::ProcessError>(stopped_at.elapsed())
         };
-        let (answer, took) = zip(asked, stop).await;
-        assert!(took? < GRACE);
+        let (answer, took) = zip(answered, stop).await;
+        assert!(took? < STOP_GRACE);
         let answer = answer?;
         assert_eq!(answer.status, 504, "{answer:?}");
         Ok(())
     })
 }
 
-/// Guards against a refusal of every caller that is ready to wait beyond the exit.
+/// Guards against a stopping instance that refuses every caller whose wait extends beyond the exit,
+/// however short its job.
 #[test]
-fn short_job_is_taken() -> TestResult {
+fn short_job_is_accepted_while_stopping() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_millis(60)).await?;
         let address = site.instances[0].callers;
         site.instances[0].process.terminate()?;
-        let stopping = site.instances[0].process.wait_for_line("stopping", GRACE);
+        let stopping = site.instances[0]
+            .process
+            .wait_for_line("stopping", STOP_GRACE);
         stopping.await?;
         let job = run_job(4, 6_800, 60);
         let answer = submit(address, PATH, &job, CALLER_WAIT).await?;
--- a/entry/tests/peer_transport.rs
+++ b/entry/tests/peer_transport.rs
@@ -1,4 +1,4 @@
-//! Peer messages between transports over loopback.
+//! Peer messages between two transports over loopback.
 
 #[path = "../../lib/tests/common/mod.rs"]
 mod common;
@@ -35,9 +35,9 @@
 
 const KEY: &[u8] = b"a key of the firm, 32 bytes long";
 const SEED: u64 = 0x5eed;
-const WITHIN: Duration = Duration::from_secs(5);
-const RECONNECT_WITHIN: Duration = Duration::from_secs(1);
-const POLL: Duration = Duration::from_millis(5);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(5);
+const RECONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 struct Peer {
     transport: NngTransport,
@@ -78,8 +78,8 @@
     }
 }
 
-/// Two transports that know each other.
-fn pair(key_of_second: &[u8]) -> (Peer, Peer) {
+/// Starts two transports, each of which lists the other as a sibling.
+fn start_siblings(key_of_second: &[u8]) -> (Peer, Peer) {
     let first = start("ate-1", 1, any_port(), KEY);
     let second = start("ate-2", 2, any_port(), key_of_second);
     let first_address = first.transport.local_address();
@@ -93,49 +93,54 @@
     (first, second)
 }
 
-/// Sends once there is a connection.
-fn send_within(peer: &Peer, to: &str, message: &PeerMessage, within: Duration) {
+/// Sends a message as soon as there is a connection. Panics if there is none within `timeout`.
+fn send_when_connected(peer: &Peer, to: &str, message: &PeerMessage, timeout: Duration) {
     let to = Arc::from(to);
     let started = Instant::now();
     loop {
         match peer.transport.send(&to, message) {
             Ok(()) => return,
-            Err(PeerSendError::NotConnected { .. }) if started.elapsed() < within => {
-                std::thread::sleep(POLL);
+            Err(PeerSendError::NotConnected { .. }) if started.elapsed() < timeout => {
+                std::thread::sleep(POLL_INTERVAL);
             }
-            Err(error) => panic!("{error} after {:?}", started.elapsed()),
+            Err(error) => panic!("sending to {to}: {error} after {:?}", started.elapsed()),
         }
     }
 }
 
-fn take(incoming: &Incoming) -> Option<Envelope> {
+/// Returns the next message, or none if there is none within `WAIT_TIMEOUT`.
+fn receive(incoming: &Incoming) -> Option<Envelope> {
     let timeout = async {
-        smol::Timer::after(WITHIN).await;
+        smol::Timer::after(WAIT_TIMEOUT).await;
         None
     };
     smol::block_on(async { incoming.recv().await.ok() }.or(timeout))
 }
 
-fn wait_for(peer: &Peer, count: PeerCount, at_least: u64) {
+/// Waits until a counter of the transport has reached a value.
+fn wait_for_count(peer: &Peer, count: PeerCount, at_least: u64) {
     let started = Instant::now();
     while peer.transport.counters().get(count) < at_least {
-        assert!(started.elapsed() < WITHIN, "{count:?} stays too low");
-        std::thread::sleep(POLL);
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "{count:?} stayed below {at_least}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 #[test]
 fn every_kind_arrives() {
-    let (first, second) = pair(KEY);
+    let (first, second) = start_siblings(KEY);
     let mut g = Gen::from_size_and_seed(30, SEED);
     for round in 0..10 * KINDS {
         let message = message_of_kind(&mut g, round % KINDS);
-        send_within(&first, "ate-2", &message, WITHIN);
-        let there = take(&second.incoming).unwrap();
+        send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+        let there = receive(&second.incoming).unwrap();
         assert_eq!(there.sender, identity("ate-1", 1));
         assert_eq!(there.message, message);
-        send_within(&second, "ate-1", &message, WITHIN);
-        let back = take(&first.incoming).unwrap();
+        send_when_connected(&second, "ate-1", &message, WAIT_TIMEOUT);
+        let back = receive(&first.incoming).unwrap();
         assert_eq!(back.sender, identity("ate-2", 2));
         assert_eq!(back.message, message);
     }
@@ -143,30 +148,30 @@
 
 #[test]
 fn order_is_kept() {
-    let (first, second) = pair(KEY);
+    let (first, second) = start_siblings(KEY);
     let numbers = 0..500;
     for correlation in numbers.clone() {
         let message = PeerMessage::HomeGone { correlation };
-        send_within(&first, "ate-2", &message, WITHIN);
+        send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
     }
     for correlation in numbers {
-        let message = take(&second.incoming).unwrap().message;
+        let message = receive(&second.incoming).unwrap().message;
         assert_eq!(message, PeerMessage::HomeGone { correlation });
     }
 }
 
 #[test]
 fn wrong_key_dropped() {
-    let (first, second) = pair(b"another firm's key of 32 bytes..");
+    let (first, second) = start_siblings(b"another firm's key of 32 bytes..");
     let message = PeerMessage::HomeGone { correlation: 1 };
-    send_within(&second, "ate-1", &message, WITHIN);
-    wait_for(&first, PeerCount::NotAuthentic, 1);
+    send_when_connected(&second, "ate-1", &message, WAIT_TIMEOUT);
+    wait_for_count(&first, PeerCount::NotAuthentic, 1);
     assert!(first.incoming.is_empty());
     assert_eq!(first.transport.counters().get(PeerCount::Received), 0);
 }
 
 #[test]
-fn noise_dropped() {
+fn unauthenticated_bytes_dropped() {
     let first = start("ate-1", 1, any_port(), KEY);
     let stranger = Socket::new(Protocol::Push0).unwrap();
     let address = first.transport.local_address();
@@ -174,13 +179,13 @@
     for noise in [&b""[..], b"short", &[0; 32], &[7; 4_096]] {
         stranger.send(noise).unwrap();
     }
-    wait_for(&first, PeerCount::NotAuthentic, 4);
+    wait_for_count(&first, PeerCount::NotAuthentic, 4);
     assert!(first.incoming.is_empty());
 }
 
 #[test]
 fn oversized_refused() {
-    let (first, second) = pair(KEY);
+    let (first, second) = start_siblings(KEY);
     let message = PeerMessage::DocumentBody {
         revision: 1,
         text: Bytes::from(vec![b' '; MAX_ENVELOPE_BYTES]),
@@ -193,67 +198,70 @@
     stranger.dial(&format!("tcp://{address}")).unwrap();
     let oversized = vec![0; MAX_ENVELOPE_BYTES + 1];
     let _ = stranger.send(&oversized);
-    send_within(
+    send_when_connected(
         &first,
         "ate-2",
         &PeerMessage::HomeGone { correlation: 1 },
-        WITHIN,
+        WAIT_TIMEOUT,
     );
-    assert!(take(&second.incoming).is_some());
+    assert!(receive(&second.incoming).is_some());
     assert_eq!(second.transport.counters().get(PeerCount::NotAuthentic), 0);
 }
 
 #[test]
 fn restarted_sibling_reconnects() {
-    let (first, second) = pair(KEY);
+    let (first, second) = start_siblings(KEY);
     let address = second.transport.local_address();
     let message = PeerMessage::HomeGone { correlation: 1 };
-    send_within(&first, "ate-2", &message, WITHIN);
-    assert!(take(&second.incoming).is_some());
+    send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+    assert!(receive(&second.incoming).is_some());
     drop(second);
     let to = Arc::from("ate-2");
     let started = Instant::now();
     while first.transport.send(&to, &message).is_ok() {
-        assert!(started.elapsed() < WITHIN);
-        std::thread::sleep(POLL);
+        assert!(started.elapsed() < WAIT_TIMEOUT);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let second = start("ate-2", 3, address, KEY);
     let message = PeerMessage::HomeGone { correlation: 2 };
-    send_within(&first, "ate-2", &message, RECONNECT_WITHIN);
+    send_when_connected(&first, "ate-2", &message, RECONNECT_TIMEOUT);
     let started = Instant::now();
-    while take(&second.incoming).unwrap().message != message {
-        assert!(started.elapsed() < WITHIN);
+    while receive(&second.incoming).unwrap().message != message {
+        assert!(started.elapsed() < WAIT_TIMEOUT);
     }
 }
 
 #[test]
-fn silent_link_is_renewed() {
-    let (first, second) = pair(KEY);
+fn unresponsive_connection_is_replaced() {
+    let (first, second) = start_siblings(KEY);
     let address = second.transport.local_address();
     let proxy = smol::block_on(FaultProxy::start(address)).unwrap();
     first
         .transport
         .set_siblings(&[sibling("ate-2", proxy.address())]);
     let message = PeerMessage::HomeGone { correlation: 1 };
-    send_within(&first, "ate-2", &message, WITHIN);
-    assert!(take(&second.incoming).is_some());
+    send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+    assert!(receive(&second.incoming).is_some());
     assert_eq!(proxy.counters().connections, 1);
     proxy.set_faults(ProxyFaults::black_hole());
     let started = Instant::now();
     while proxy.counters().connections < 2 {
-        assert!(started.elapsed() < WITHIN, "no other connection was tried");
-        send_within(&first, "ate-2", &message, WITHIN);
-        std::thread::sleep(10 * POLL);
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "no second connection was opened"
+        );
+        send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+        std::thread::sleep(10 * POLL_INTERVAL);
     }
     assert!(proxy.counters().black_holed > 0);
     smol::block_on(proxy.heal()).unwrap();
-    send_within(&first, "ate-2", &message, WITHIN);
-    assert!(take(&second.incoming).is_some());
+    send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+    assert!(receive(&second.incoming).is_some());
 }
 
 #[test]
-fn answered_link_is_kept() {
-    let (first, second) = pair(KEY);
+fn responsive_connection_is_kept() {
+    let (first, second) = start_siblings(KEY);
     let address = second.transport.local_address();
     let proxy = smol::block_on(FaultProxy::start(address)).unwrap();
     first
@@ -261,25 +269,25 @@
         .set_siblings(&[sibling("ate-2", proxy.address())]);
     let message = PeerMessage::HomeGone { correlation: 1 };
     let started = Instant::now();
-    while started.elapsed() < WITHIN / 2 {
-        send_within(&first, "ate-2", &message, WITHIN);
-        assert!(take(&second.incoming).is_some());
-        send_within(&second, "ate-1", &message, WITHIN);
-        assert!(take(&first.incoming).is_some());
-        std::thread::sleep(10 * POLL);
+    while started.elapsed() < WAIT_TIMEOUT / 2 {
+        send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+        assert!(receive(&second.incoming).is_some());
+        send_when_connected(&second, "ate-1", &message, WAIT_TIMEOUT);
+        assert!(receive(&first.incoming).is_some());
+        std::thread::sleep(10 * POLL_INTERVAL);
     }
     assert_eq!(proxy.counters().connections, 1);
 }
 
 #[test]
 fn full_queue_refuses() {
-    let (first, second) = pair(KEY);
+    let (first, second) = start_siblings(KEY);
     let to = Arc::from("ate-2");
     let message = PeerMessage::DocumentBody {
         revision: 1,
         text: Bytes::from(vec![b' '; MAX_QUEUED_BYTES / 8]),
     };
-    send_within(&first, "ate-2", &message, WITHIN);
+    send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
     let mut accepted = 1_u64;
     let refused = loop {
         match first.transport.send(&to, &message) {
@@ -291,15 +299,15 @@
     assert!(matches!(refused, PeerSendError::QueueFull { .. }));
     assert_eq!(first.transport.counters().get(PeerCount::QueueFull), 1);
     for _ in 0..accepted {
-        assert!(take(&second.incoming).is_some());
+        assert!(receive(&second.incoming).is_some());
     }
-    send_within(&first, "ate-2", &message, WITHIN);
-    assert!(take(&second.incoming).is_some());
+    send_when_connected(&first, "ate-2", &message, WAIT_TIMEOUT);
+    assert!(receive(&second.incoming).is_some());
 }
 
 #[test]
-fn unlisted_refused() {
-    let (first, _second) = pair(KEY);
+fn unlisted_sibling_refused() {
+    let (first, _second) = start_siblings(KEY);
     first.transport.set_siblings(&[]);
     let message = PeerMessage::HomeGone { correlation: 1 };
     let sent = first.transport.send(&Arc::from("ate-2"), &message);
@@ -316,7 +324,7 @@
     assert!(first.send(&to, &message).is_err());
     first.set_siblings(&[sibling("ate-2", any_port())]);
     first.send(&to, &message).unwrap();
-    let envelope = take(&incoming).unwrap();
+    let envelope = receive(&incoming).unwrap();
     assert_eq!(envelope.sender, identity("ate-1", 1));
     assert_eq!(envelope.message, message);
     drop(incoming);
--- a/entry/tests/run_decisions.rs
+++ b/entry/tests/run_decisions.rs
@@ -1,4 +1,4 @@
-//! Counters that tell why requests are refused, jobs given up and tasks started over.
+//! Metrics that count by reason which requests are refused, jobs given up and tasks retried.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use almondhead_testsupport::run_site::run_job;
 use almondhead_testsupport::site::TestResult;
 
-async fn ask(
+async fn submit_job(
     site: &ProcessSite,
     id: &str,
     job: &JobSpec,
@@ -25,8 +25,8 @@
     Ok(submit(site.instances[0].callers, &path, job, wait).await?)
 }
 
-/// The lines of a scrape that count anything.
-async fn counted(site: &ProcessSite) -> Result<Vec<String>, Box<dyn std::error::Error>> {
+/// Returns the lines of the operators' metrics whose value is not zero.
+async fn nonzero_metrics(site: &ProcessSite) -> Result<Vec<String>, Box<dyn std::error::Error>> {
     let operators = site.instances[0].operators;
     let request = HttpRequest::new(Method::GET, operators, "/metrics");
     let client = HttpClient::new(HttpSettings::default());
@@ -48,9 +48,9 @@
             spec: Arc::from("5000"),
             ..run_job(1, 6_800, 60)
         };
-        let answer = ask(&site, "0000000000000001", &job, 1_000).await?;
+        let answer = submit_job(&site, "0000000000000001", &job, 1_000).await?;
         assert_eq!(answer.status, 504);
-        let lines = counted(&site).await?;
+        let lines = nonzero_metrics(&site).await?;
         assert_counted(
             &lines,
             r#"almondhead_jobs_given_up_total{reason="no_time_left"} 1"#,
@@ -71,11 +71,11 @@
         for upstream in &site.upstreams {
             upstream.set_fails_all(true);
         }
-        let answer = ask(&site, "0000000000000002", &run_job(1, 6_800, 60), 1_500).await?;
+        let answer = submit_job(&site, "0000000000000002", &run_job(1, 6_800, 60), 1_500).await?;
         assert_eq!(answer.state.as_deref(), Some("failed"));
         // The third failure ends the job.
         assert_counted(
-            &counted(&site).await?,
+            &nonzero_metrics(&site).await?,
             r#"almondhead_tasks_started_over_total{reason="failed"} 2"#,
         );
         Ok(())
@@ -90,10 +90,10 @@
             durable: true,
             ..run_job(1, 6_800, 60)
         };
-        let answer = ask(&site, "0000000000000003", &job, 1_500).await?;
+        let answer = submit_job(&site, "0000000000000003", &job, 1_500).await?;
         assert_eq!(answer.status, 503);
         assert_counted(
-            &counted(&site).await?,
+            &nonzero_metrics(&site).await?,
             r#"almondhead_run_refusals_total{reason="unsupported"} 1"#,
         );
         Ok(())
