--- a/entry/tests/promise_at_most_once.rs
+++ b/entry/tests/promise_at_most_once.rs
@@ -1,4 +1,5 @@
-//! Each task of a submission starts at most once, whatever is lost, killed or frozen.
+//! Each task of a submission starts at most once, even if messages are lost or processes are
+//! killed or suspended.
 
 use std::time::Duration;
 
@@ -16,13 +17,15 @@
 use serde_json::json;
 use smol::Timer;
 
-const RESUBMISSIONS: usize = 40;
-const BETWEEN_RESUBMISSIONS: Duration = Duration::from_millis(250);
-const FROZEN_FOR: Duration = Duration::from_millis(1_500);
-const AFTER_THAW: Duration = Duration::from_secs(2);
+const MAX_RESUBMISSIONS: usize = 40;
+const RESUBMIT_INTERVAL: Duration = Duration::from_millis(250);
+/// How long the entry stays suspended after its sibling was asked for the job.
+const EXTRA_FREEZE_TIME: Duration = Duration::from_millis(1_500);
+/// Time after the resumption in which late starts would show.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 
-/// Two entries that know each other and one upstream of eight slots.
-async fn pair() -> Result<Site, Box<dyn std::error::Error>> {
+/// Starts two sibling entries and one upstream with eight slots.
+async fn start_siblings() -> Result<Site, Box<dyn std::error::Error>> {
     let mut site = Site::start(1).await?;
     site.start_entry("entry-b", NORTH, json!({})).await?;
     site.wait_for_siblings(1).await?;
@@ -39,7 +42,7 @@
 #[test]
 fn resubmission_joins_or_repeats() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         let caller = Caller::new();
         let session = site.open_session(0).await?;
         let body = marked_job("joined", 16, 400);
@@ -63,7 +66,7 @@
 #[test]
 fn lost_answer_is_repeated() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         let caller = Caller::new();
         let proxy = FaultProxy::start(site.entries[0].callers).await?;
         let session = site.open_session(0).await?;
@@ -89,7 +92,7 @@
 #[test]
 fn killed_home_is_never_replaced() -> TestResult {
     smol::block_on(async {
-        let mut site = pair().await?;
+        let mut site = start_siblings().await?;
         let caller = Caller::new();
         let session = site.open_session(0).await?;
         let body = marked_job("orphan", 8, 3_000);
@@ -105,14 +108,14 @@
         assert!(answer.header("retry-after").is_some());
         site.platform.end_instance("entry-a").await;
         let mut reason = json!(null);
-        for _ in 0..RESUBMISSIONS {
+        for _ in 0..MAX_RESUBMISSIONS {
             let answer = json_of(&site.send(through_sibling.clone()).await?)?;
             assert_eq!(answer["outcome"], "failed", "{answer}");
             reason = answer["reason"].clone();
             if reason == "home_gone" {
                 break;
             }
-            Timer::after(BETWEEN_RESUBMISSIONS).await;
+            Timer::after(RESUBMIT_INTERVAL).await;
         }
         assert_eq!(reason, "home_gone");
 
@@ -163,9 +166,9 @@
 }
 
 #[test]
-fn answer_lost_by_upstream_is_not_run_for() -> TestResult {
+fn task_with_lost_answer_is_not_run_again() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         let session = site.open_session(0).await?;
         site.upstreams[0].set_faults(UpstreamFaults {
             lose_answer: true,
@@ -186,7 +189,7 @@
 #[test]
 fn thawed_entry_starts_nothing_past_deadline() -> TestResult {
     smol::block_on(async {
-        let mut site = pair().await?;
+        let mut site = start_siblings().await?;
         let caller = Caller::new();
         let session = site.open_session(0).await?;
         let mut body = marked_job("frozen", 64, 300);
@@ -195,18 +198,18 @@
         let thawed = caller.send(put_job(address, &session, 1, &body));
         site.wait_for_starts("frozen", 16).await?;
         site.entries[0].process.freeze()?;
-        let line = process_state(site.entries[0].process.id())?;
+        let line = process_state_line(site.entries[0].process.id())?;
         assert!(line.contains('T'), "{line}");
         Timer::after(Duration::from_millis(4_000)).await;
         let started = site.starts_of("frozen");
-        assert!(started < 64, "nothing was left to start");
+        assert!(started < 64, "all tasks had started before the freeze");
 
         let during = put_job(site.entries[1].callers, &session, 1, &body);
         check_reason(&site.send(during).await?, "failed", "home_unreachable")?;
-        Timer::after(FROZEN_FOR).await;
+        Timer::after(EXTRA_FREEZE_TIME).await;
         site.entries[0].process.thaw()?;
         check_reason(&thawed.await?, "failed", "deadline_passed")?;
-        Timer::after(AFTER_THAW).await;
+        Timer::after(SETTLE_TIME).await;
         for entry in [0, 1] {
             let again = put_job(site.entries[entry].callers, &session, 1, &body);
             check_reason(&site.send(again).await?, "failed", "deadline_passed")?;
@@ -216,8 +219,8 @@
     })
 }
 
-/// The line in which the kernel tells a process's state; `T` is stopped.
-fn process_state(id: u32) -> std::io::Result<String> {
+/// Returns the `State:` line of a process's status in procfs; `T` means stopped.
+fn process_state_line(id: u32) -> std::io::Result<String> {
     let status = std::fs::read_to_string(format!("/proc/{id}/status"))?;
     let line = status.lines().find(|line| line.starts_with("State:"));
     Ok(line.unwrap_or_default().to_owned())
--- a/entry/tests/promise_document_in_force.rs
+++ b/entry/tests/promise_document_in_force.rs
@@ -1,4 +1,4 @@
-//! An accepted document is in force everywhere within seconds and never reverts.
+//! An accepted document is in force on all entries within seconds and never reverts.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -29,19 +29,19 @@
 
 const OPERATORS: usize = 6;
 const ROUNDS: u64 = 3;
-const LOOKS: usize = 40;
-const BETWEEN_LOOKS: Duration = Duration::from_millis(100);
-const OUTAGE: Duration = Duration::from_secs(3);
+const STATUS_CHECKS: usize = 40;
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+const OUTAGE_DURATION: Duration = Duration::from_secs(3);
 const STORE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The site's document with its one team renamed, by which the document in force shows.
+/// Returns the site's document with its only team renamed, which shows the document in force.
 fn with_team(site: &Site, team: &str) -> Document {
     let mut document = site.document();
     document.teams[0].name = team.to_owned();
     document
 }
 
-/// Checks that an entry knows this team and not the first document's.
+/// Checks that an entry accepts tasks of this team and not of the first document's team.
 async fn check_team(site: &Site, entry: usize, team: &str) -> TestResult {
     let address = site.entries[entry].callers;
     let mut body = marked_job("shown", 1, 1);
@@ -56,7 +56,9 @@
 
 async fn revision_of(site: &Site, entry: usize) -> Result<u64, Box<dyn std::error::Error>> {
     let revision: Value = site.status_of(entry, "document_revision").await?;
-    Ok(revision.as_u64().ok_or("no revision")?)
+    Ok(revision
+        .as_u64()
+        .ok_or("document_revision is not a number")?)
 }
 
 #[test]
@@ -79,9 +81,9 @@
         }
         assert!(proxy.counters().black_holed > 0);
         proxy.heal().await?;
-        for _ in 0..LOOKS {
+        for _ in 0..STATUS_CHECKS {
             assert_eq!(revision_of(&site, 1).await?, 3);
-            Timer::after(BETWEEN_LOOKS).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
         check_team(&site, 1, "team-3").await
     })
@@ -104,11 +106,11 @@
         let restarted = site.start_entry("entry-b", NORTH, json!({})).await?;
         site.within_seconds(restarted, "document_revision", 7)
             .await?;
-        for _ in 0..LOOKS {
+        for _ in 0..STATUS_CHECKS {
             for entry in [0, restarted] {
                 assert_eq!(revision_of(&site, entry).await?, 7);
             }
-            Timer::after(BETWEEN_LOOKS).await;
+            Timer::after(CHECK_INTERVAL).await;
         }
         assert!(site.platform.counters().reads > reads_before);
         check_team(&site, 0, "newer").await?;
@@ -117,7 +119,7 @@
 }
 
 #[test]
-fn entry_started_during_outage_serves_no_guess() -> TestResult {
+fn entry_started_during_outage_waits_for_the_document() -> TestResult {
     smol::block_on(async {
         let mut site = Site::start(1).await?;
         site.install(2, &with_team(&site, "newer")).await?;
@@ -131,7 +133,7 @@
         let healing = {
             let healed = Arc::clone(&healed);
             async move {
-                Timer::after(OUTAGE).await;
+                Timer::after(OUTAGE_DURATION).await;
                 healed.store(true, Ordering::SeqCst);
                 heal_over_http(platform_address).await
             }
@@ -152,7 +154,7 @@
     })
 }
 
-/// Ends the platform's faults by its own interface, for a test whose site is in use.
+/// Ends the platform's faults over HTTP, for a test that has its site borrowed.
 async fn heal_over_http(platform: std::net::SocketAddr) -> TestResult {
     let request =
         almondhead_net::HttpRequest::new(almondhead_net::Method::POST, platform, "/v1/faults");
@@ -162,7 +164,7 @@
     Ok(())
 }
 
-/// Submits a document that was made from a revision; says whether it was accepted.
+/// Submits a document that is based on a revision, and returns whether it was accepted.
 async fn submit(
     site: &Site,
     expected_revision: u64,
@@ -216,7 +218,7 @@
     })
 }
 
-/// Runs futures together and gives their outputs in order.
+/// Runs futures concurrently and returns their outputs in order.
 async fn join_all<T>(futures: impl Iterator<Item = impl Future<Output = T>>) -> Vec<T> {
     let executor = smol::LocalExecutor::new();
     let tasks: Vec<_> = futures.map(|future| executor.spawn(future)).collect();
--- a/entry/tests/promise_graceful_stop.rs
+++ b/entry/tests/promise_graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts no request that peers forward, also while a document comes into force.
+//! A planned stop aborts no request that siblings forward, even while a document is installed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,47 +17,47 @@
 use smol::Timer;
 
 const CALLERS: usize = 12;
-const JOBS_OF_ONE: u64 = 400;
+const MAX_JOBS_PER_CALLER: u64 = 400;
 const TASKS: usize = 3;
 const BEFORE_STOP: Duration = Duration::from_millis(500);
-const BETWEEN_STOPS: Duration = Duration::from_millis(200);
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(200);
 const STOP_NOTICE_MS: u64 = 1_500;
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a caller was answered, by the marker of the job.
-struct Answered {
+/// The answer to the job with this marker.
+struct JobAnswer {
     marker: String,
     body: Value,
 }
 
-/// Submits jobs of one session at an entry until one is not complete.
+/// Submits jobs of one session at an entry until one is not complete, and returns the answers.
 fn submit_until_refused(
     name: &'static str,
     number: usize,
     address: SocketAddr,
     session: String,
-) -> Task<Result<Vec<Answered>, String>> {
+) -> Task<Result<Vec<JobAnswer>, String>> {
     smol::spawn(async move {
         let caller = Caller::new();
-        let mut answered = Vec::new();
-        for job in 0..JOBS_OF_ONE {
+        let mut answers = Vec::new();
+        for job in 0..MAX_JOBS_PER_CALLER {
             let marker = format!("{name}-{number}-{job}");
             let body = marked_job(&marker, TASKS, 30 + 5 * number as u64);
             let answer = caller.send(put_job(address, &session, job, &body)).await;
-            let answer = answer.map_err(|error| format!("{marker} was cut: {error}"))?;
+            let answer = answer.map_err(|error| format!("{marker} was not answered: {error}"))?;
             let body = json_of(&answer).map_err(|error| error.to_string())?;
             let is_last = body["outcome"] != "complete";
-            answered.push(Answered { marker, body });
+            answers.push(JobAnswer { marker, body });
             if is_last {
                 break;
             }
         }
-        Ok(answered)
+        Ok(answers)
     })
 }
 
 #[test]
-fn stop_with_peers_forwarding_cuts_nothing() -> TestResult {
+fn stop_aborts_no_forwarded_request() -> TestResult {
     smol::block_on(async {
         let mut site = Site::without_entries(4).await?;
         let installed = site.document();
@@ -79,7 +79,7 @@
         newer.teams[0].weight = 2;
         site.install(2, &newer).await?;
         site.entries[0].process.terminate()?;
-        Timer::after(BETWEEN_STOPS).await;
+        Timer::after(SIGNAL_INTERVAL).await;
         site.entries[0].process.terminate()?;
         let status = site.entries[0].process.wait_for_exit(STOP_TIMEOUT).await?;
         assert!(status.success(), "{status}");
@@ -88,16 +88,16 @@
 
         let mut complete = 0;
         for caller in callers {
-            for answered in caller.await? {
-                let starts = site.starts_of(&answered.marker);
-                if answered.body["outcome"] == "complete" {
+            for answer in caller.await? {
+                let starts = site.starts_of(&answer.marker);
+                if answer.body["outcome"] == "complete" {
                     complete += 1;
-                    assert_eq!(starts, TASKS as u64, "{}", answered.marker);
+                    assert_eq!(starts, TASKS as u64, "{}", answer.marker);
                     continue;
                 }
-                let context = format!("{}: {}", answered.marker, answered.body);
-                assert_eq!(answered.body["outcome"], "not_run", "{context}");
-                assert_eq!(answered.body["reason"], "leaving", "{context}");
+                let context = format!("{}: {}", answer.marker, answer.body);
+                assert_eq!(answer.body["outcome"], "not_run", "{context}");
+                assert_eq!(answer.body["reason"], "leaving", "{context}");
                 assert_eq!(starts, 0, "{context}");
             }
         }
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn stop_finishes_what_peers_handed_over() -> TestResult {
+fn stop_finishes_batches_of_siblings() -> TestResult {
     smol::block_on(async {
         let mut site = Site::without_entries(4).await?;
         let installed = site.document();
--- a/entry/tests/promise_leaving_upstream.rs
+++ b/entry/tests/promise_leaving_upstream.rs
@@ -25,14 +25,14 @@
 use smol::Timer;
 
 const CALLERS: usize = 12;
-const CALLS_OF_ONE: usize = 2_000;
+const MAX_CALLS_PER_CALLER: usize = 2_000;
 const RUN_MS: u64 = 40;
-const BEFORE: Duration = Duration::from_millis(500);
-const AFTERWARDS: Duration = Duration::from_secs(2);
+const WARM_UP_TIME: Duration = Duration::from_millis(500);
+const OBSERVATION_TIME: Duration = Duration::from_secs(2);
 const LEAVES_IN_MS: u64 = 3_000;
 const LIST_LAG_MS: u64 = 2_000;
 
-/// Callers that submit single tasks until they are told to end.
+/// Callers that submit single tasks until the load is ended.
 struct Load {
     ending: Arc<AtomicBool>,
     callers: Vec<Task<Result<usize, String>>>,
@@ -47,7 +47,7 @@
                 let (address, ending) = (entry.callers, Arc::clone(&ending));
                 smol::spawn(async move {
                     let caller = Caller::new();
-                    for call in 0..CALLS_OF_ONE {
+                    for call in 0..MAX_CALLS_PER_CALLER {
                         if ending.load(Ordering::Relaxed) {
                             return Ok(call);
                         }
@@ -59,14 +59,14 @@
                             return Err(format!("{number}-{call}: {answer}"));
                         }
                     }
-                    Ok(CALLS_OF_ONE)
+                    Ok(MAX_CALLS_PER_CALLER)
                 })
             })
             .collect();
         Load { ending, callers }
     }
 
-    /// Ends the load; every call must have been answered whole or not run.
+    /// Ends the load and checks that every call was answered, none as failed.
     async fn end(self) -> TestResult {
         self.ending.store(true, Ordering::Relaxed);
         for caller in self.callers {
@@ -76,8 +76,8 @@
     }
 }
 
-/// Three upstreams and two entries in one data centre.
-async fn busy_site() -> Result<Site, Box<dyn std::error::Error>> {
+/// Starts three upstreams and two entries in one data centre.
+async fn start_site() -> Result<Site, Box<dyn std::error::Error>> {
     let mut site = Site::without_entries(3).await?;
     let installed = site.document();
     site.install(1, &installed).await?;
@@ -104,16 +104,22 @@
     upstream.report().tasks.iter().map(|task| task.starts).sum()
 }
 
-/// Checks under load that nothing starts at the first upstream from `WITHIN_SECONDS` on.
-async fn check_left(site: &Site, load: Load, started_before: u64) -> TestResult {
+/// Checks under load that nothing starts at the first upstream after `WITHIN_SECONDS`.
+async fn check_unused(site: &Site, load: Load, started_before: u64) -> TestResult {
     Timer::after(WITHIN_SECONDS).await;
     let at_bound = starts(&site.upstreams[0]);
     let others = || starts(&site.upstreams[1]) + starts(&site.upstreams[2]);
     let others_at_bound = others();
-    Timer::after(AFTERWARDS).await;
+    Timer::after(OBSERVATION_TIME).await;
     load.end().await?;
-    assert!(started_before > 0, "the upstream never worked");
-    assert!(others() > others_at_bound, "no load after the bound");
+    assert!(
+        started_before > 0,
+        "nothing started at the upstream before it left"
+    );
+    assert!(
+        others() > others_at_bound,
+        "nothing started at the other upstreams afterwards"
+    );
     assert_eq!(starts(&site.upstreams[0]), at_bound);
     site.check_at_most_once()
 }
@@ -126,7 +132,7 @@
 #[test]
 fn upstream_leaves_by_document_with_platform_down() -> TestResult {
     smol::block_on(async {
-        let site = busy_site().await?;
+        let site = start_site().await?;
         let load = Load::start(&site);
         let mut installed = site.document();
         installed.upstreams[0].leaves_at_unix_ms = Some(unix_time_ms()? + LEAVES_IN_MS);
@@ -140,7 +146,7 @@
         });
         let started_before = starts(&site.upstreams[0]);
         Timer::after(Duration::from_millis(LEAVES_IN_MS)).await;
-        check_left(&site, load, started_before).await?;
+        check_unused(&site, load, started_before).await?;
         assert!(site.platform.counters().refused > 0);
         Ok(())
     })
@@ -149,7 +155,7 @@
 #[test]
 fn upstream_leaves_by_lagging_list() -> TestResult {
     smol::block_on(async {
-        let site = busy_site().await?;
+        let site = start_site().await?;
         site.platform.set_faults(PlatformFaults {
             lag_ms: LIST_LAG_MS,
             ..PlatformFaults::default()
@@ -157,22 +163,22 @@
         Timer::after(2 * Duration::from_millis(LIST_LAG_MS)).await;
         site.wait_for_siblings(1).await?;
         let load = Load::start(&site);
-        Timer::after(BEFORE).await;
+        Timer::after(WARM_UP_TIME).await;
         let started_before = starts(&site.upstreams[0]);
         let lists_before = site.platform.counters().lists;
         site.platform.set_leaving("upstream-0").await;
-        check_left(&site, load, started_before).await?;
+        check_unused(&site, load, started_before).await?;
         assert!(site.platform.counters().lists > lists_before);
         Ok(())
     })
 }
 
 #[test]
-fn upstream_stays_left_while_platform_is_down() -> TestResult {
+fn upstream_stays_unused_while_platform_is_down() -> TestResult {
     smol::block_on(async {
-        let site = busy_site().await?;
+        let site = start_site().await?;
         let load = Load::start(&site);
-        Timer::after(BEFORE).await;
+        Timer::after(WARM_UP_TIME).await;
         let started_before = starts(&site.upstreams[0]);
         site.platform.set_leaving("upstream-0").await;
         Timer::after(Duration::from_millis(LIST_LAG_MS)).await;
@@ -180,7 +186,7 @@
             outage: Outage::Silent,
             ..PlatformFaults::default()
         });
-        check_left(&site, load, started_before).await?;
+        check_unused(&site, load, started_before).await?;
         assert!(site.platform.counters().unanswered > 0);
         Ok(())
     })
--- a/entry/tests/promise_non_idempotent.rs
+++ b/entry/tests/promise_non_idempotent.rs
@@ -1,4 +1,4 @@
-//! A job under an idempotency key runs at most once, whatever the platform loses.
+//! A non-idempotent job under an idempotency key runs at most once, whatever the platform loses.
 
 use almondhead_net::HttpResponse;
 use almondhead_testsupport::Outage;
@@ -17,7 +17,8 @@
 
 const RACES: usize = 24;
 
-async fn pair() -> Result<Site, Box<dyn std::error::Error>> {
+/// Starts two sibling entries and two upstreams, with retries of unknown outcomes switched on.
+async fn start_siblings() -> Result<Site, Box<dyn std::error::Error>> {
     let mut site = Site::without_entries(2).await?;
     let mut installed = site.document();
     installed.services[0].retry_unknown = true;
@@ -28,13 +29,15 @@
     Ok(site)
 }
 
-fn charge(marker: &str, tasks: usize, run_ms: u64) -> Value {
+/// Returns a job that may not be retried.
+fn non_idempotent_job(marker: &str, tasks: usize, run_ms: u64) -> Value {
     let mut body = marked_job(marker, tasks, run_ms);
     body["idempotent"] = json!(false);
     body
 }
 
-fn check_refused(answer: &HttpResponse) -> TestResult {
+/// Checks that a job was refused because its key could not be claimed.
+fn check_claim_unavailable(answer: &HttpResponse) -> TestResult {
     let body = json_of(answer)?;
     assert_eq!(body["outcome"], "not_run", "{body}");
     assert_eq!(body["reason"], "claim_unavailable", "{body}");
@@ -43,19 +46,19 @@
 }
 
 #[test]
-fn platform_out_runs_nothing() -> TestResult {
+fn platform_outage_runs_nothing() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         for outage in [Outage::Refusing, Outage::Silent] {
             let name = format!("{outage:?}");
             site.platform.set_faults(PlatformFaults {
                 outage,
                 ..PlatformFaults::default()
             });
-            let body = charge(&name, 2, 5);
+            let body = non_idempotent_job(&name, 2, 5);
             for entry in [0, 1, 0] {
                 let request = post_keyed(site.entries[entry].callers, &name, &body);
-                check_refused(&site.send(request).await?)?;
+                check_claim_unavailable(&site.send(request).await?)?;
             }
             assert_eq!(site.starts_of(&name), 0);
             site.platform.set_faults(PlatformFaults::default());
@@ -65,7 +68,7 @@
                 if answer.status == 200 {
                     break;
                 }
-                check_refused(&answer)?;
+                check_claim_unavailable(&answer)?;
                 smol::Timer::after(std::time::Duration::from_millis(500)).await;
                 answer = site.send(request.clone()).await?;
             }
@@ -83,12 +86,12 @@
 #[test]
 fn claim_with_lost_answer_runs_once() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         site.platform.set_faults(PlatformFaults {
             apply_then_lose: true,
             ..PlatformFaults::default()
         });
-        let body = charge("lost-claim", 2, 100);
+        let body = non_idempotent_job("lost-claim", 2, 100);
         let first = site
             .send(post_keyed(site.entries[0].callers, "lost", &body))
             .await?;
@@ -109,12 +112,12 @@
 #[test]
 fn racing_entries_run_each_key_once() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         let caller = Caller::new();
         let mut races = Vec::new();
         for race in 0..RACES {
             let key = format!("race-{race}");
-            let body = charge(&key, 2, 20);
+            let body = non_idempotent_job(&key, 2, 20);
             let answers: Vec<_> = [0, 1, race % 2]
                 .into_iter()
                 .map(|entry| caller.send(post_keyed(site.entries[entry].callers, &key, &body)))
@@ -138,9 +141,9 @@
 #[test]
 fn key_of_killed_home_never_runs_again() -> TestResult {
     smol::block_on(async {
-        let mut site = pair().await?;
+        let mut site = start_siblings().await?;
         let caller = Caller::new();
-        let body = charge("orphan", 4, 2_000);
+        let body = non_idempotent_job("orphan", 4, 2_000);
         let cut = caller.send(post_keyed(site.entries[0].callers, "orphan", &body));
         site.wait_for_starts("orphan", 4).await?;
         site.entries[0].process.kill9()?;
@@ -158,9 +161,9 @@
 }
 
 #[test]
-fn lost_answer_is_repeated_for_idempotent_calls_only() -> TestResult {
+fn non_idempotent_task_with_lost_answer_is_not_retried() -> TestResult {
     smol::block_on(async {
-        let site = pair().await?;
+        let site = start_siblings().await?;
         let lose_one = UpstreamFaults {
             lose_answer: true,
             limit_tasks: Some(1),
@@ -170,13 +173,13 @@
         for upstream in &site.upstreams {
             upstream.set_faults(lose_one.clone());
         }
-        let single = charge("single", 1, 5);
+        let single = non_idempotent_job("single", 1, 5);
         let answer = json_of(&site.send(post_task(address, &single)).await?)?;
         assert_eq!(answer["reason"], "unknown", "{answer}");
         for upstream in &site.upstreams {
             upstream.set_faults(lose_one.clone());
         }
-        let keyed = post_keyed(address, "keyed", &charge("keyed", 1, 5));
+        let keyed = post_keyed(address, "keyed", &non_idempotent_job("keyed", 1, 5));
         for _ in 0..2 {
             let answer = json_of(&site.send(keyed.clone()).await?)?;
             assert_eq!(answer["reason"], "unknown", "{answer}");
--- a/entry/tests/promise_not_run.rs
+++ b/entry/tests/promise_not_run.rs
@@ -1,4 +1,4 @@
-//! Where an answer says "not run", no task of it started.
+//! No task of a job that is answered as "not run" has started.
 
 use std::time::Duration;
 
@@ -20,13 +20,14 @@
 use serde_json::json;
 use smol::Timer;
 
-const RETRIES: usize = 20;
-const SETTLE: Duration = Duration::from_millis(500);
-const DEFAULT_RETRY: Duration = Duration::from_millis(500);
+const MAX_RETRIES: usize = 20;
+/// Time after an answer in which late starts would show.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 const BURST_JOBS: u64 = 60;
 const BURST_TASKS: usize = 16;
 
-/// Checks a "not run" answer against the record of starts.
+/// Checks that an answer is "not run" for this reason and that the upstreams recorded no start.
 async fn check_not_run(
     site: &Site,
     answer: &HttpResponse,
@@ -36,32 +37,33 @@
     let body = json_of(answer)?;
     assert_eq!(body["outcome"], "not_run", "{marker}: {body}");
     assert_eq!(body["reason"], reason, "{marker}: {body}");
-    Timer::after(SETTLE).await;
+    Timer::after(SETTLE_TIME).await;
     assert_eq!(site.starts_of(marker), 0, "{marker}");
     Ok(())
 }
 
-/// Sends a refused request again, each time after the time that the refusal states.
+/// Resends a refused request until it is accepted, each time after the `Retry-After` of the last
+/// answer.
 async fn retry(site: &Site, refused: &HttpResponse, request: &HttpRequest) -> TestResult {
-    let stated = |answer: &HttpResponse| {
+    let retry_after = |answer: &HttpResponse| {
         let text = answer.header("retry-after")?.to_owned();
         text.parse().ok().map(Duration::from_secs)
     };
-    let mut after = stated(refused).ok_or("no Retry-After")?;
-    for _ in 0..RETRIES {
-        Timer::after(after).await;
+    let mut delay = retry_after(refused).ok_or("no Retry-After")?;
+    for _ in 0..MAX_RETRIES {
+        Timer::after(delay).await;
         let answer = site.send(request.clone()).await?;
         if answer.status == 200 {
             return Ok(());
         }
         assert_eq!(json_of(&answer)?["outcome"], "not_run", "{:?}", answer.body);
-        after = stated(&answer).unwrap_or(DEFAULT_RETRY);
+        delay = retry_after(&answer).unwrap_or(DEFAULT_RETRY_DELAY);
     }
-    Err(format!("{} was never taken", request.path).into())
+    Err(format!("{} was refused {MAX_RETRIES} times", request.path).into())
 }
 
 #[test]
-fn refusing_guards_ran_nothing() -> TestResult {
+fn refusing_upstreams_ran_nothing() -> TestResult {
     smol::block_on(async {
         let site = Site::start(2).await?;
         let session = site.open_session(0).await?;
@@ -176,7 +178,7 @@
         site.wait_for_starts("holder", 8).await?;
         let body = marked_job("cancelled", 8, 5);
         let waiting = caller.send(put_job(address, &session, 2, &body));
-        Timer::after(SETTLE).await;
+        Timer::after(SETTLE_TIME).await;
         let path = format!("/v1/sessions/{session}/jobs/2");
         let cancel = site.request(0, almondhead_net::Method::DELETE, &path);
         let cancelled = site.send(cancel).await?;
@@ -191,7 +193,7 @@
 }
 
 #[test]
-fn burst_over_faulty_upstreams_is_answered_truly() -> TestResult {
+fn burst_over_faulty_upstreams_is_answered_correctly() -> TestResult {
     smol::block_on(async {
         let mut site = Site::without_entries(3).await?;
         let proxy = FaultProxy::start(site.upstreams[2].address()).await?;
@@ -235,12 +237,12 @@
                 assert_eq!(starts, BURST_TASKS as u64, "{number}");
             }
         }
-        Timer::after(SETTLE).await;
+        Timer::after(SETTLE_TIME).await;
         for number in &not_run {
             assert_eq!(site.starts_of(&format!("burst-{number}")), 0, "{number}");
         }
-        assert!(!not_run.is_empty(), "no overload");
-        assert!(complete > 0, "nothing ran");
+        assert!(!not_run.is_empty(), "no job was refused");
+        assert!(complete > 0, "no job was complete");
         assert!(site.upstreams[0].report().counters.refused > 0);
         site.check_at_most_once()
     })
--- a/entry/tests/promise_own_answer.rs
+++ b/entry/tests/promise_own_answer.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, also when answers are late or crossed.
+//! Each caller gets the complete answer to its own request, even if answers are late or reordered.
 
 use almondhead_net::HttpRequest;
 use almondhead_net::HttpResponse;
@@ -17,12 +17,13 @@
 
 const CALLS: usize = 8;
 
+/// Returns a request for one task that carries a name as its request id and its marker.
 fn named_call(address: std::net::SocketAddr, name: &str, run_ms: u64) -> HttpRequest {
     let request = post_task(address, &marked_job(name, 1, run_ms));
     with_header(request, "request-id", name)
 }
 
-/// Checks that an answer is whole and the one to the call of this name.
+/// Checks that an answer is complete and belongs to the call of this name.
 fn check_own(answer: &HttpResponse, name: &str) -> TestResult {
     assert_eq!(answer.status, 200, "{name}: {:?}", answer.body);
     assert_eq!(answer.header("request-id"), Some(name));
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn foreign_or_cut_answer_is_passed_to_nobody() -> TestResult {
+fn mismatched_or_truncated_answer_reaches_no_caller() -> TestResult {
     smol::block_on(async {
         let (site, _proxy) = Site::start_behind_proxy().await?;
         let address = site.entries[0].callers;
--- a/entry/tests/promise_whole_answer.rs
+++ b/entry/tests/promise_whole_answer.rs
@@ -15,9 +15,10 @@
 
 const LARGE_INPUT_BYTES: usize = 40_000;
 const LARGE_TASKS: usize = 200;
-const WRITTEN_BYTES: u64 = 200_000;
+/// How much of the answer has been written when the entry is killed.
+const MIN_WRITTEN_BYTES: u64 = 200_000;
 
-/// One faulty task of many, and what the job's answer must then say.
+/// A fault of one task among many, and the reason that the job's answer must give.
 struct Fault {
     name: &'static str,
     faults: UpstreamFaults,
@@ -69,7 +70,8 @@
 fn one_bad_task_fails_the_job() -> TestResult {
     smol::block_on(async {
         for (index, fault) in faults().into_iter().enumerate() {
-            // A site of its own: a task of the last failed job, still on its way, would take the fault.
+            // Each fault has its own site: a task of the previous failed job that is still in flight
+            // would trigger the fault.
             let site = Site::start(1).await?;
             let session = site.open_session(0).await?;
             let address = site.entries[0].callers;
@@ -87,7 +89,7 @@
             let whole = site.send(put_job(address, &session, 2, &body)).await?;
             assert_eq!(whole.status, 200, "{}: {:?}", fault.name, whole.body);
             let counters = site.upstreams[0].report().counters;
-            let shown = [
+            let counted = [
                 counters.failed,
                 counters.cut_bodies,
                 counters.lost_answers,
@@ -95,7 +97,7 @@
             ];
             let mut expected = [0; 4];
             expected[index] = 1;
-            assert_eq!(shown, expected, "{}", fault.name);
+            assert_eq!(counted, expected, "{}", fault.name);
             site.check_at_most_once()?;
         }
         Ok(())
@@ -103,7 +105,7 @@
 }
 
 #[test]
-fn upstream_cut_amid_answer_fails_the_job() -> TestResult {
+fn connection_cut_during_answer_fails_the_job() -> TestResult {
     smol::block_on(async {
         let (site, proxy) = Site::start_behind_proxy().await?;
         let session = site.open_session(0).await?;
@@ -125,7 +127,7 @@
 }
 
 #[test]
-fn killed_entry_never_sends_a_short_answer() -> TestResult {
+fn killed_entry_sends_no_truncated_answer() -> TestResult {
     smol::block_on(async {
         let mut site = Site::without_entries(4).await?;
         let installed = site.document();
@@ -145,7 +147,7 @@
             delay_ms: 50,
             ..ProxyFaults::default()
         });
-        let written = || proxy.counters().answer_bytes >= WRITTEN_BYTES;
+        let written = || proxy.counters().answer_bytes >= MIN_WRITTEN_BYTES;
         wait_until("part of the answer", written).await?;
         site.entries[0].process.kill9()?;
         let cut = cut.await;
--- a/entry/tests/settings_check.rs
+++ b/entry/tests/settings_check.rs
@@ -1,4 +1,4 @@
-//! The checker of settings files.
+//! Parsing and checking of settings files.
 
 use std::fs;
 use std::process::Command;
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use serde_json::json;
 
-const RIGHT: &str = r#"{
+const VALID_SETTINGS: &str = r#"{
   // Where this process stands.
   "instance": "entry-a",
   "data_centre": "north",
@@ -22,12 +22,13 @@
   "limits": { "tasks_per_job": 480, }, /* the rest by default */
 }"#;
 
-fn right() -> Value {
-    let parsed = jsonc_parser::parse_to_serde_value(RIGHT, &Default::default());
-    parsed.expect("the right settings are JSON with comments")
+fn valid_settings() -> Value {
+    let parsed = jsonc_parser::parse_to_serde_value(VALID_SETTINGS, &Default::default());
+    parsed.expect("the valid settings are JSON with comments")
 }
 
-fn paths(text: &str) -> Vec<String> {
+/// Parses invalid settings and returns the paths of their problems.
+fn problem_paths(text: &str) -> Vec<String> {
     match Settings::parse(text) {
         Err(SettingsError::Invalid { problems }) => {
             problems.into_iter().map(|problem| problem.path).collect()
@@ -37,17 +38,17 @@
 }
 
 #[test]
-fn right_settings_pass() -> TestResult {
-    let settings = Settings::parse(RIGHT)?;
+fn valid_settings_pass() -> TestResult {
+    let settings = Settings::parse(VALID_SETTINGS)?;
     assert_eq!(settings.instance, "entry-a");
     assert_eq!(settings.limits.tasks_per_job, 480);
     assert_eq!(settings.trace_output, TraceOutput::None);
-    assert_eq!(settings, Settings::parse(RIGHT)?);
+    assert_eq!(settings, Settings::parse(VALID_SETTINGS)?);
     Ok(())
 }
 
 #[test]
-fn each_fault_is_named() {
+fn each_problem_is_reported_at_its_path() {
     let table = [
         ("/instance", Value::Null),
         ("/instance", json!("")),
@@ -71,16 +72,16 @@
     ];
     for (path, value) in table {
         let field = path.split('/').nth(1).unwrap_or_default();
-        let mut settings = right();
+        let mut settings = valid_settings();
         settings[field] = value;
-        assert_eq!(paths(&settings.to_string()), [path], "{settings}");
+        assert_eq!(problem_paths(&settings.to_string()), [path], "{settings}");
     }
 }
 
 #[test]
-fn all_faults_come_at_once() {
-    let missing = paths("{}");
-    let wanted = [
+fn all_missing_settings_are_reported_at_once() {
+    let missing = problem_paths("{}");
+    let expected = [
         "/instance",
         "/data_centre",
         "/caller_address",
@@ -89,11 +90,11 @@
         "/platform_address",
         "/peer_key",
     ];
-    assert_eq!(missing, wanted);
+    assert_eq!(missing, expected);
 }
 
 #[test]
-fn fault_of_syntax_has_its_line() {
+fn syntax_error_has_its_line() {
     let text = "{\n  \"instance\": \"entry-a\",\n  \"data_centre\" 7\n}";
     match Settings::parse(text) {
         Err(SettingsError::Syntax { line, .. }) => assert_eq!(line, 3),
@@ -102,25 +103,25 @@
 }
 
 #[test]
-fn secret_does_not_show() -> TestResult {
-    let shown = format!("{:?}", Settings::parse(RIGHT)?);
+fn peer_key_is_not_printed() -> TestResult {
+    let shown = format!("{:?}", Settings::parse(VALID_SETTINGS)?);
     assert!(!shown.contains("a key for tests"), "{shown}");
     Ok(())
 }
 
 #[test]
-fn program_checks_a_file() -> TestResult {
+fn program_checks_settings_file() -> TestResult {
     let directory = tempfile::tempdir()?;
     let file = directory.path().join("settings.jsonc");
-    for (text, code) in [(RIGHT, 0), ("{ \"x\": 1 }", 2)] {
+    for (text, code) in [(VALID_SETTINGS, 0), ("{ \"x\": 1 }", 2)] {
         fs::write(&file, text)?;
         let output = Command::new(env!("CARGO_BIN_EXE_almondhead"))
             .arg("--check-settings")
             .arg(&file)
             .output()?;
         assert_eq!(output.status.code(), Some(code), "{output:?}");
-        let faults = String::from_utf8(output.stderr)?;
-        assert_eq!(faults.contains("/x: is no known setting"), code == 2);
+        let errors = String::from_utf8(output.stderr)?;
+        assert_eq!(errors.contains("/x: is no known setting"), code == 2);
     }
     Ok(())
 }
--- a/entry/tests/whole_path.rs
+++ b/entry/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A caller's submission through a real entry process to upstreams and back.
+//! End-to-end submissions: from a caller through a real entry process to upstreams and back.
 
 use std::fs;
 use std::time::Duration;
@@ -56,8 +56,8 @@
             .flatten()
             .map(|result| result["echo"]["index"].as_u64())
             .collect();
-        let wanted: Vec<Option<u64>> = (0..480).map(Some).collect();
-        assert_eq!(indices, wanted);
+        let expected: Vec<Option<u64>> = (0..480).map(Some).collect();
+        assert_eq!(indices, expected);
 
         let again = site.request(0, Method::PUT, &path).with_body(body);
         assert_eq!(site.send(again).await?.body, answer.body);
@@ -92,42 +92,42 @@
     })
 }
 
-/// A faulty request, and the field that its answer must name.
-struct Fault {
+/// An invalid request, and the field that its answer must name.
+struct InvalidRequest {
     body: String,
     field: &'static str,
 }
 
-fn faults() -> Vec<Fault> {
+fn invalid_requests() -> Vec<InvalidRequest> {
     let changed = |name: &str, value: Value| {
         let mut body = job(1, 1);
         body[name] = value;
         body.to_string()
     };
-    let fault = |body: String, field| Fault { body, field };
+    let invalid = |body: String, field| InvalidRequest { body, field };
     vec![
-        fault(String::new(), ""),
-        fault("[]".to_owned(), ""),
-        fault("{\"service\":".to_owned(), ""),
-        fault(job(1, 1).to_string().replace('}', ""), ""),
-        fault(changed("service", json!(7)), "/service"),
-        fault(changed("service", json!("")), "/service"),
-        fault(changed("team", Value::Null), "/team"),
-        fault(changed("team", json!("x".repeat(201))), "/team"),
-        fault(changed("timeout_ms", json!(0)), "/timeout_ms"),
-        fault(changed("timeout_ms", json!(-5)), "/timeout_ms"),
-        fault(changed("timeout_ms", json!(1.5)), "/timeout_ms"),
-        fault(changed("timeout_ms", json!("1000")), "/timeout_ms"),
-        fault(changed("idempotent", json!("yes")), "/idempotent"),
-        fault(changed("declared_run_ms", json!(1e30)), "/declared_run_ms"),
-        fault(changed("needs", json!([])), "/needs"),
-        fault(changed("needs", json!({"cores": -1})), "/needs/cores"),
-        fault(changed("needs", json!({"discs": 1})), "/needs/discs"),
-        fault(changed("inputs", json!([])), "/inputs"),
-        fault(changed("inputs", json!("a")), "/inputs"),
-        fault(changed("inputs", json!([1, 2])), "/inputs"),
-        fault(changed("urgent", json!(true)), "/urgent"),
-        fault(
+        invalid(String::new(), ""),
+        invalid("[]".to_owned(), ""),
+        invalid("{\"service\":".to_owned(), ""),
+        invalid(job(1, 1).to_string().replace('}', ""), ""),
+        invalid(changed("service", json!(7)), "/service"),
+        invalid(changed("service", json!("")), "/service"),
+        invalid(changed("team", Value::Null), "/team"),
+        invalid(changed("team", json!("x".repeat(201))), "/team"),
+        invalid(changed("timeout_ms", json!(0)), "/timeout_ms"),
+        invalid(changed("timeout_ms", json!(-5)), "/timeout_ms"),
+        invalid(changed("timeout_ms", json!(1.5)), "/timeout_ms"),
+        invalid(changed("timeout_ms", json!("1000")), "/timeout_ms"),
+        invalid(changed("idempotent", json!("yes")), "/idempotent"),
+        invalid(changed("declared_run_ms", json!(1e30)), "/declared_run_ms"),
+        invalid(changed("needs", json!([])), "/needs"),
+        invalid(changed("needs", json!({"cores": -1})), "/needs/cores"),
+        invalid(changed("needs", json!({"discs": 1})), "/needs/discs"),
+        invalid(changed("inputs", json!([])), "/inputs"),
+        invalid(changed("inputs", json!("a")), "/inputs"),
+        invalid(changed("inputs", json!([1, 2])), "/inputs"),
+        invalid(changed("urgent", json!(true)), "/urgent"),
+        invalid(
             format!(
                 "{{\"service\":\"{SERVICE}\",\"service\":\"{SERVICE}\",\"team\":\"{TEAM}\",\"inputs\":[1]}}"
             ),
@@ -137,14 +137,14 @@
 }
 
 #[test]
-fn faulty_input_runs_nothing() -> TestResult {
+fn invalid_input_runs_nothing() -> TestResult {
     smol::block_on(async {
         let site = Site::start(1).await?;
-        for fault in faults() {
+        for invalid in invalid_requests() {
             let request = site.request(0, Method::POST, "/v1/tasks");
-            let answer = site.send(request.with_body(fault.body.clone())).await?;
+            let answer = site.send(request.with_body(invalid.body.clone())).await?;
             let body = json_of(&answer)?;
-            let context = format!("{} -> {body}", fault.body);
+            let context = format!("{} -> {body}", invalid.body);
             assert_eq!(answer.status, 400, "{context}");
             assert_eq!(
                 answer.header("content-type"),
@@ -153,8 +153,8 @@
             );
             assert_eq!(body["outcome"], "not_run", "{context}");
             let errors = body["errors"].as_array().ok_or("no errors")?;
-            let named = errors.iter().any(|error| error["field"] == fault.field);
-            assert!(named, "{context}");
+            let is_named = errors.iter().any(|error| error["field"] == invalid.field);
+            assert!(is_named, "{context}");
         }
         assert_eq!(site.starts(), Starts::default());
         Ok(())
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn wrong_addresses_are_refused() -> TestResult {
+fn invalid_paths_are_refused() -> TestResult {
     smol::block_on(async {
         let site = Site::start(1).await?;
         let session = site.open_session(0).await?;
