--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -4,8 +4,8 @@
 //! There are two scenarios: short tasks with faults of all kinds; and tasks that may outlast a
 //! lease, whose callers wait longer and drop connections, with faults at short intervals.
 //!
-//! `FAULT_SOAK_SEEDS=100..150` runs other seeds, `FAULT_SOAK_STEPS=60` injects more faults per seed,
-//! and `FAULT_SOAK_INSTANCES=24` starts more instances. There are two upstreams per instance.
+//! `FAULT_SOAK_SEEDS=100..150` runs other seeds, `FAULT_SOAK_STEPS=60` injects more faults per
+//! seed, and `FAULT_SOAK_INSTANCES=24` starts more instances. There are two upstreams per instance.
 
 use std::collections::BTreeSet;
 use std::env;
@@ -70,8 +70,8 @@
 /// How long `Fault::CutAndRestart` keeps the upstream unreachable after it restarts the instance.
 const CUT_AFTER_RESTART: Duration = Duration::from_millis(900);
 
-/// Interval at which expired faults and dropped connections are checked.
-const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Wait between two checks for faults that are due or connections that are to be dropped.
+const POLL_WAIT: Duration = Duration::from_millis(10);
 
 /// How long an instance may still run after the duration of the `Fault::Stop` that signalled it.
 const STOP_TIMEOUT: Duration = Duration::from_secs(7);
@@ -174,7 +174,8 @@
     QuickRestart(usize),
     /// Callers drop their connections to an instance.
     CallersReset(usize),
-    /// Cuts off an upstream (first index) and kills an instance (second index), which restarts soon.
+    /// Cuts off an upstream (first index) and kills an instance (second index), which soon restarts
+    /// while the upstream is still unreachable.
     CutAndRestart(usize, usize),
 }
 
@@ -277,12 +278,8 @@
             spec: Arc::from(work_ms.to_string()),
             ..run_job(tasks, 6_800, work_ms)
         };
-        let extra_wait_ms = 3 * (work_ms * 8 / 5 + 60);
-        (
-            spec,
-            tasks,
-            CALLER_WAIT + Duration::from_millis(extra_wait_ms),
-        )
+        let extra_ms = 3 * (work_ms * 8 / 5 + 60);
+        (spec, tasks, CALLER_WAIT + Duration::from_millis(extra_ms))
     }
 
     /// Draws after what time a caller drops its connection; none if it waits for the answer.
@@ -340,10 +337,9 @@
 /// Returns the instance whose process a fault ends.
 fn ended_instance(fault: Fault) -> Option<usize> {
     match fault {
-        Fault::Kill(index)
-        | Fault::Stop(index)
-        | Fault::QuickRestart(index)
-        | Fault::CutAndRestart(_, index) => Some(index),
+        Fault::Kill(i) | Fault::Stop(i) | Fault::QuickRestart(i) | Fault::CutAndRestart(_, i) => {
+            Some(i)
+        }
         _ => None,
     }
 }
@@ -351,44 +347,40 @@
 /// Returns the instance whose process a fault ends or suspends.
 fn ended_or_frozen_instance(fault: Fault) -> Option<usize> {
     match fault {
-        Fault::Freeze(index) => Some(index),
+        Fault::Freeze(i) => Some(i),
         _ => ended_instance(fault),
     }
 }
 
 /// Begins a fault.
 fn begin_fault(site: &mut ProcessSite, state: &SharedState, fault: Fault) -> TestResult {
-    if let Some(index) = ended_or_frozen_instance(fault) {
-        lock(state).healthy_since[index] = None;
+    if let Some(i) = ended_or_frozen_instance(fault) {
+        lock(state).healthy_since[i] = None;
     }
     match fault {
-        Fault::Kill(index) | Fault::QuickRestart(index) => site.instances[index].process.kill9()?,
-        Fault::CutAndRestart(upstream, index) => {
+        Fault::Kill(i) | Fault::QuickRestart(i) => site.instances[i].process.kill9()?,
+        Fault::CutAndRestart(upstream, i) => {
             site.upstream_proxies[upstream].set_faults(ProxyFaults::black_hole());
-            site.instances[index].process.kill9()?;
+            site.instances[i].process.kill9()?;
         }
-        Fault::CallersReset(index) => lock(state).callers_reset_at[index] = Some(Instant::now()),
-        Fault::Stop(index) => site.instances[index].process.terminate()?,
-        Fault::Freeze(index) => site.instances[index].process.freeze()?,
+        Fault::CallersReset(i) => lock(state).callers_reset_at[i] = Some(Instant::now()),
+        Fault::Stop(i) => site.instances[i].process.terminate()?,
+        Fault::Freeze(i) => site.instances[i].process.freeze()?,
         Fault::StoreUnavailable(store_fault) => site.store.set_fault(store_fault),
         Fault::StoreHistoryLost => site.store.drop_history(),
-        Fault::StoreCut(index) => site.store_proxies[index].set_faults(ProxyFaults::black_hole()),
-        Fault::StoreCutOneWay(index) => site.store_proxies[index].set_faults(answers_black_holed()),
-        Fault::StoreSlow(index) => site.store_proxies[index].set_faults(delayed(200)),
-        Fault::StoreReset(index) => site.store_proxies[index].cut_all(),
-        Fault::UpstreamCut(index) => {
-            site.upstream_proxies[index].set_faults(ProxyFaults::black_hole())
-        }
-        Fault::UpstreamCutOneWay(index) => {
-            site.upstream_proxies[index].set_faults(answers_black_holed())
-        }
-        Fault::UpstreamSlow(index) => site.upstream_proxies[index].set_faults(delayed(60)),
-        Fault::UpstreamReset(index) => site.upstream_proxies[index].cut_all(),
-        Fault::UpstreamOrders(index, fate) => site.upstreams[index].set_fate(fate),
-        Fault::UpstreamFailsTasks(index) => site.upstreams[index].set_fails_all(true),
-        Fault::UpstreamRestart(index) => {
-            site.upstreams[index].restart();
-            site.list_upstream(index);
+        Fault::StoreCut(i) => site.store_proxies[i].set_faults(ProxyFaults::black_hole()),
+        Fault::StoreCutOneWay(i) => site.store_proxies[i].set_faults(answers_black_holed()),
+        Fault::StoreSlow(i) => site.store_proxies[i].set_faults(delayed(200)),
+        Fault::StoreReset(i) => site.store_proxies[i].cut_all(),
+        Fault::UpstreamCut(i) => site.upstream_proxies[i].set_faults(ProxyFaults::black_hole()),
+        Fault::UpstreamCutOneWay(i) => site.upstream_proxies[i].set_faults(answers_black_holed()),
+        Fault::UpstreamSlow(i) => site.upstream_proxies[i].set_faults(delayed(60)),
+        Fault::UpstreamReset(i) => site.upstream_proxies[i].cut_all(),
+        Fault::UpstreamOrders(i, fate) => site.upstreams[i].set_fate(fate),
+        Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(true),
+        Fault::UpstreamRestart(i) => {
+            site.upstreams[i].restart();
+            site.list_upstream(i);
         }
         Fault::NewIntendedState => site.put_intended(),
     }
@@ -397,42 +389,42 @@
 
 /// Ends a fault: restores connections and restarts processes.
 async fn end_fault(site: &mut ProcessSite, state: &SharedState, fault: Fault) -> TestResult {
-    if let Some(index) = ended_instance(fault) {
-        let lines = site.instances[index].process.output();
+    if let Some(i) = ended_instance(fault) {
+        let lines = site.instances[i].process.output();
         lock(state).ended_process_logs.extend(lines);
     }
     match fault {
-        Fault::Kill(index) => restart_instance(site, state, index).await?,
-        Fault::QuickRestart(index) | Fault::CutAndRestart(_, index) => {
-            site.restart_instance(index)?
-        }
-        Fault::Stop(index) => {
-            let process = &mut site.instances[index].process;
+        Fault::Kill(i) => restart_at_new_address(site, state, i).await?,
+        Fault::QuickRestart(i) | Fault::CutAndRestart(_, i) => site.restart_instance(i)?,
+        Fault::Stop(i) => {
+            let process = &mut site.instances[i].process;
             process.wait_for_exit(Duration::ZERO).await?;
-            restart_instance(site, state, index).await?;
+            restart_at_new_address(site, state, i).await?;
         }
-        Fault::Freeze(index) => {
-            site.instances[index].process.thaw()?;
-            lock(state).healthy_since[index] = Some(Instant::now());
+        Fault::Freeze(i) => {
+            site.instances[i].process.thaw()?;
+            lock(state).healthy_since[i] = Some(Instant::now());
         }
         Fault::StoreUnavailable(_) => site.store.set_fault(StoreFault::None),
-        Fault::StoreCut(index) | Fault::StoreCutOneWay(index) | Fault::StoreSlow(index) => {
-            site.store_proxies[index].heal().await?;
+        Fault::StoreCut(i) | Fault::StoreCutOneWay(i) | Fault::StoreSlow(i) => {
+            site.store_proxies[i].heal().await?;
         }
-        Fault::UpstreamCut(index)
-        | Fault::UpstreamCutOneWay(index)
-        | Fault::UpstreamSlow(index) => {
-            site.upstream_proxies[index].heal().await?;
+        Fault::UpstreamCut(i) | Fault::UpstreamCutOneWay(i) | Fault::UpstreamSlow(i) => {
+            site.upstream_proxies[i].heal().await?;
         }
-        Fault::UpstreamOrders(index, _) => site.upstreams[index].set_fate(OrderFate::Answered),
-        Fault::UpstreamFailsTasks(index) => site.upstreams[index].set_fails_all(false),
+        Fault::UpstreamOrders(i, _) => site.upstreams[i].set_fate(OrderFate::Answered),
+        Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(false),
         _ => {}
     }
     Ok(())
 }
 
 /// Starts an instance again, at a new address.
-async fn restart_instance(site: &mut ProcessSite, state: &SharedState, index: usize) -> TestResult {
+async fn restart_at_new_address(
+    site: &mut ProcessSite,
+    state: &SharedState,
+    index: usize,
+) -> TestResult {
     site.instances[index] = site.start_instance(index)?;
     lock(state).addresses[index] = site.instances[index].callers;
     // Queues are matched by host, and its host has changed.
@@ -445,9 +437,7 @@
 fn is_due(site: &mut ProcessSite, (fault, until): (Fault, Instant)) -> bool {
     let now = Instant::now();
     let is_stopping = match fault {
-        Fault::Stop(index) => {
-            now < until + STOP_TIMEOUT && site.instances[index].process.is_running()
-        }
+        Fault::Stop(i) => now < until + STOP_TIMEOUT && site.instances[i].process.is_running(),
         _ => false,
     };
     until <= now && !is_stopping
@@ -471,12 +461,12 @@
         if Instant::now() >= until {
             return Ok(());
         }
-        Timer::after(POLL_INTERVAL).await;
+        Timer::after(POLL_WAIT).await;
     }
 }
 
 /// Returns whether two faults act on the same target, so that the end of one would end the other.
-fn has_same_target(one: Fault, other: Fault) -> bool {
+fn has_conflict(one: Fault, other: Fault) -> bool {
     if ended_or_frozen_instance(one).is_some()
         && ended_or_frozen_instance(one) == ended_or_frozen_instance(other)
     {
@@ -484,15 +474,15 @@
     }
     let target = |fault| match fault {
         Fault::StoreUnavailable(_) => ("store", 0),
-        Fault::StoreCut(index) | Fault::StoreCutOneWay(index) | Fault::StoreSlow(index) => {
-            ("store connection", index)
+        Fault::StoreCut(i) | Fault::StoreCutOneWay(i) | Fault::StoreSlow(i) => {
+            ("store connection", i)
         }
-        Fault::UpstreamCut(index)
-        | Fault::UpstreamCutOneWay(index)
-        | Fault::UpstreamSlow(index)
-        | Fault::CutAndRestart(index, _) => ("upstream connection", index),
-        Fault::UpstreamOrders(index, _) => ("orders", index),
-        Fault::UpstreamFailsTasks(index) | Fault::UpstreamRestart(index) => ("upstream", index),
+        Fault::UpstreamCut(i)
+        | Fault::UpstreamCutOneWay(i)
+        | Fault::UpstreamSlow(i)
+        | Fault::CutAndRestart(i, _) => ("upstream connection", i),
+        Fault::UpstreamOrders(i, _) => ("orders", i),
+        Fault::UpstreamFailsTasks(i) | Fault::UpstreamRestart(i) => ("upstream", i),
         _ => ("none", 0),
     };
     target(one) == target(other) && target(one).0 != "none"
@@ -510,7 +500,7 @@
         if is_reset || disconnects_at.is_some_and(|at| at <= Instant::now()) {
             return;
         }
-        Timer::after(POLL_INTERVAL).await;
+        Timer::after(POLL_WAIT).await;
     }
 }
 
@@ -688,19 +678,12 @@
     let mut injected = Vec::new();
     for _ in 0..number_from_env("FAULT_SOAK_STEPS", scenario.steps()) {
         let fault = scenario.draw_fault(&mut rng, &site);
-        let duration = scenario.fault_duration(&mut rng, fault);
+        let lasts = scenario.fault_duration(&mut rng, fault);
         let interval = scenario.fault_interval(&mut rng);
-        if !active
-            .iter()
-            .any(|(other, _)| has_same_target(fault, *other))
-        {
-            injected.push((
-                started_at.elapsed().as_millis(),
-                fault,
-                duration.as_millis(),
-            ));
+        if !active.iter().any(|(other, _)| has_conflict(fault, *other)) {
+            injected.push((started_at.elapsed().as_millis(), fault, lasts.as_millis()));
             begin_fault(&mut site, &state, fault)?;
-            active.push((fault, Instant::now() + duration));
+            active.push((fault, Instant::now() + lasts));
         }
         end_due_faults_until(&mut site, &state, &mut active, Instant::now() + interval).await?;
     }
@@ -709,13 +692,7 @@
         *until = injection_ended_at.min(*until);
     }
     while !active.is_empty() {
-        end_due_faults_until(
-            &mut site,
-            &state,
-            &mut active,
-            Instant::now() + POLL_INTERVAL,
-        )
-        .await?;
+        end_due_faults_until(&mut site, &state, &mut active, Instant::now() + POLL_WAIT).await?;
     }
     if let Err(error) = check_recovery(&mut site, seed).await {
         print_logs(&site, &state);
@@ -733,9 +710,7 @@
         .map(|upstream| upstream.running())
         .sum();
     if running > 0 {
-        violations.push(format!(
-            "{running} runs still running {RUN_END_TIMEOUT:?} after the last caller had gone"
-        ));
+        violations.push(format!("{running} runs left after {RUN_END_TIMEOUT:?}"));
     }
     let requests = lock(&state).requests.len();
     println!(
--- a/entry/tests/frozen_process.rs
+++ b/entry/tests/frozen_process.rs
@@ -40,7 +40,10 @@
         assert_eq!(answer["outcome"], "failed", "{answer}");
         Timer::after(Duration::from_secs(1)).await;
         assert_eq!(site.starts().tasks, started_before);
-        assert!(started_before < 4 * SLOTS, "frozen too late");
+        assert!(
+            started_before < 4 * SLOTS,
+            "all tasks had started before the freeze"
+        );
         assert_eq!(site.starts().most_of_one, 1);
 
         let next = site.send_task(0, &job(1, 1)).await?;
--- a/entry/tests/promise_whole_answer.rs
+++ b/entry/tests/promise_whole_answer.rs
@@ -70,8 +70,8 @@
 fn one_bad_task_fails_the_job() -> TestResult {
     smol::block_on(async {
         for (index, fault) in faults().into_iter().enumerate() {
-            // Each fault has its own site: a task of the previous failed job that is still in flight
-            // would trigger the fault.
+            // Each fault has its own site: a task of the previous failed job that is still in
+            // flight would trigger the fault.
             let site = Site::start(1).await?;
             let session = site.open_session(0).await?;
             let address = site.entries[0].callers;
