--- a/entry/src/peer.rs
+++ b/entry/src/peer.rs
@@ -1,4 +1,4 @@
-//! Sending messages to other entry instances, whatever carries them.
+//! The interface of the transports that carry messages between entry instances.
 
 use std::sync::Arc;
 
@@ -11,22 +11,22 @@
 use derive_more::Error;
 use smol::channel::Receiver;
 
-/// The messages that came in, each authenticated, in the order of their arrival.
+/// The received messages, authenticated, in the order of their arrival.
 pub type Incoming = Receiver<Envelope>;
 
-/// The most messages that came in and wait to be taken.
+/// Maximum number of received messages that wait to be processed.
 pub(crate) const MAX_INCOMING_MESSAGES: usize = 64;
 
-/// Carries messages to siblings; each may arrive twice, late or never.
+/// Sends messages to siblings; a message may arrive late, more than once or not at all.
 pub trait PeerTransport: Send + Sync {
-    /// Hands a message over for sending, without waiting.
+    /// Queues a message for sending, without waiting.
     ///
     /// # Errors
     ///
-    /// [`PeerSendError`] when not a byte of it was sent, and none will be.
+    /// [`PeerSendError`] when no byte of the message was sent and none will be.
     fn send(&self, to: &Arc<str>, message: &PeerMessage) -> Result<(), PeerSendError>;
 
-    /// Replaces the siblings that messages can be sent to.
+    /// Replaces the set of siblings that messages can be sent to.
     fn set_siblings(&self, siblings: &[Sibling]);
 }
 
@@ -37,51 +37,51 @@
     /// No sibling has this name.
     #[display("send to {to}: unknown sibling")]
     UnknownSibling {
-        /// The name.
+        /// The name that messages were addressed to.
         to: Arc<str>,
     },
-    /// There is no connection to the sibling now.
+    /// There is no open connection to the sibling.
     #[display("send to {to}: not connected")]
     NotConnected {
         /// The sibling's name.
         to: Arc<str>,
     },
-    /// As much waits for the sibling as may.
+    /// The queue of messages for the sibling is full.
     #[display("send to {to}: queue full")]
     QueueFull {
         /// The sibling's name.
         to: Arc<str>,
     },
-    /// The message is larger than an envelope.
+    /// The message does not fit into an envelope.
     #[display("send to {to}: message of {envelope_bytes} bytes is too large")]
     TooLarge {
         /// The sibling's name.
         to: Arc<str>,
-        /// The size that its envelope would have.
+        /// The size that its envelope would have, in bytes.
         envelope_bytes: usize,
     },
 }
 
-/// Why a transport could not start.
+/// Why a transport could not be started.
 #[value]
 #[derive(Display, Error)]
 #[display("{step} at {address}: {reason}")]
 pub struct PeerStartError {
-    /// What was attempted.
+    /// The step that failed.
     pub step: &'static str,
     /// The address to listen on.
     pub address: std::net::SocketAddr,
-    /// What the library answered.
+    /// The error text of the messaging library.
     pub reason: String,
 }
 
-/// What a transport needs to know of its own instance.
+/// The settings of a transport.
 #[derive(Clone)]
 pub struct PeerSettings {
-    /// Its identity, which goes with each message.
+    /// The identity of the own instance, sent with each message.
     pub identity: PeerIdentity,
-    /// The address that it takes messages at.
+    /// The address to receive messages at.
     pub listen: std::net::SocketAddr,
-    /// The firm's shared key.
+    /// The key that all entry instances of the firm share; it authenticates messages.
     pub key: Vec<u8>,
 }
--- a/entry/src/peer_counters.rs
+++ b/entry/src/peer_counters.rs
@@ -1,33 +1,33 @@
-//! Counts of what a peer transport did.
+//! Counters of the messages that a peer transport handled.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 
 use almondhead_macros::key;
 
-/// One thing that a transport counts.
+/// What happened to a message, as counted by a transport.
 #[key]
 pub enum PeerCount {
     /// Messages handed to the network.
     Sent,
-    /// Messages refused since no connection was there.
+    /// Messages refused because there was no connection.
     NotConnected,
-    /// Messages refused since the sibling's queue was full.
+    /// Messages refused because the sibling's queue was full.
     QueueFull,
-    /// Messages refused since they were too large or their sibling unknown.
+    /// Messages refused because they were too large or the sibling was unknown.
     NotSendable,
-    /// Messages that were queued when the connection broke.
+    /// Messages dropped from the queue when the connection broke, or whose sending failed.
     Lost,
-    /// Messages that came in and were valid.
+    /// Messages received and valid.
     Received,
-    /// Messages that came in without a valid tag.
+    /// Messages received without a valid authentication tag, or too large.
     NotAuthentic,
-    /// Messages that came in with a valid tag and were not valid.
+    /// Messages received with a valid authentication tag but malformed content.
     Invalid,
 }
 
 impl PeerCount {
-    /// Every count.
+    /// Every counted kind.
     pub const ALL: [PeerCount; 8] = [
         PeerCount::Sent,
         PeerCount::NotConnected,
@@ -39,7 +39,7 @@
         PeerCount::Invalid,
     ];
 
-    /// Its name as a metric's label.
+    /// Returns its value of the metric's label.
     pub const fn label(self) -> &'static str {
         match self {
             PeerCount::Sent => "sent",
@@ -54,14 +54,14 @@
     }
 }
 
-/// The counts of one transport since it started.
+/// The counters of one transport since it started.
 #[derive(Debug, Default)]
 pub struct PeerCounters {
     counts: [AtomicU64; PeerCount::ALL.len()],
 }
 
 impl PeerCounters {
-    /// How often this happened.
+    /// Returns how many messages were counted as `count`.
     pub fn get(&self, count: PeerCount) -> u64 {
         self.counts[count as usize].load(Ordering::Relaxed)
     }
--- a/entry/src/peer_link.rs
+++ b/entry/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The connection to one sibling: a push socket, and the messages that wait for it.
+//! A connection to one sibling: a push socket and the queue of messages for it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,20 +26,20 @@
 use crate::peer_counters::PeerCounters;
 use crate::peer_queue::PeerQueue;
 
-/// The shortest time between two tries to connect to a sibling.
-const RECONNECT_MIN: Duration = Duration::from_millis(50);
+/// Minimum delay between two attempts to connect to a sibling.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// The longest time between two tries to connect to a sibling.
-const RECONNECT_MAX: Duration = Duration::from_millis(500);
+/// Maximum delay between two attempts to connect to a sibling.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(500);
 
-/// Sends to one sibling, one message at a time, and connects again for ever.
+/// Sends to one sibling, one message at a time, and reconnects until it is dropped.
 #[derive(Debug)]
 pub(crate) struct PeerLink {
     shared: Arc<Shared>,
     sender: Aio,
 }
 
-/// Why a link did not take a message.
+/// Why a link did not accept a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkRefusal {
     NotConnected,
@@ -47,6 +47,7 @@
 }
 
 #[derive(Debug)]
+/// The state shared between a link and the callbacks of its socket.
 struct Shared {
     socket: Socket,
     counters: Arc<PeerCounters>,
@@ -55,51 +56,51 @@
 
 #[derive(Debug, Default)]
 struct LinkState {
-    connected: bool,
-    sending: bool,
+    is_connected: bool,
+    is_sending: bool,
     queue: PeerQueue,
 }
 
 impl PeerLink {
-    /// A link that starts to connect to `address`.
+    /// Opens a link, which starts to connect to `address`.
     pub(crate) fn open(address: SocketAddr, counters: Arc<PeerCounters>) -> nng::Result<Self> {
         let socket = Socket::new(Protocol::Push0)?;
         socket.set_opt::<SendBufferSize>(0)?;
         socket.set_opt::<RecvBufferSize>(0)?;
-        socket.set_opt::<ReconnectMinTime>(Some(RECONNECT_MIN))?;
-        socket.set_opt::<ReconnectMaxTime>(Some(RECONNECT_MAX))?;
+        socket.set_opt::<ReconnectMinTime>(Some(MIN_RECONNECT_DELAY))?;
+        socket.set_opt::<ReconnectMaxTime>(Some(MAX_RECONNECT_DELAY))?;
         socket.set_opt::<NoDelay>(true)?;
         let shared = Arc::new(Shared {
             socket,
             counters,
             state: Mutex::default(),
         });
-        let sender = shared.sender()?;
+        let sender = shared.new_sender()?;
         shared.watch_connection()?;
         shared.socket.dial_async(&format!("tcp://{address}"))?;
         Ok(PeerLink { shared, sender })
     }
 
-    /// Whether there is a connection, as far as the library knows.
+    /// Returns whether the library reports an open connection.
     pub(crate) fn is_connected(&self) -> bool {
-        self.shared.lock().connected
+        self.shared.lock().is_connected
     }
 
-    /// Whether all that it took is handed to the network or lost.
+    /// Returns whether every accepted message has been handed to the network or lost.
     pub(crate) fn is_idle(&self) -> bool {
-        !self.shared.lock().sending
+        !self.shared.lock().is_sending
     }
 
-    /// Sends a sealed message after those that wait.
+    /// Sends a sealed message after those that are queued.
     pub(crate) fn send(&self, message: Bytes) -> Result<(), LinkRefusal> {
         let mut state = self.shared.lock();
-        if !state.connected {
+        if !state.is_connected {
             return Err(LinkRefusal::NotConnected);
         }
         if !state.queue.push(message) {
             return Err(LinkRefusal::QueueFull);
         }
-        if !state.sending {
+        if !state.is_sending {
             self.shared.send_next(&mut state, &self.sender);
         }
         Ok(())
@@ -108,24 +109,24 @@
 
 impl Drop for PeerLink {
     fn drop(&mut self) {
-        self.shared.disconnected();
+        self.shared.on_disconnected();
         self.shared.socket.close();
         self.sender.wait();
     }
 }
 
 impl Shared {
-    /// An operation that sends one queued message after the other.
-    fn sender(self: &Arc<Self>) -> nng::Result<Aio> {
+    /// Creates the operation that sends the queued messages one after the other.
+    fn new_sender(self: &Arc<Self>) -> nng::Result<Aio> {
         let shared = Arc::downgrade(self);
         Aio::new(move |sender, result| {
             if let Some(shared) = shared.upgrade() {
-                shared.sent(&sender, &result);
+                shared.on_sent(&sender, &result);
             }
         })
     }
 
-    fn sent(&self, sender: &Aio, result: &AioResult) {
+    fn on_sent(&self, sender: &Aio, result: &AioResult) {
         let outcome = match result {
             AioResult::Send(Ok(())) => PeerCount::Sent,
             _ => PeerCount::Lost,
@@ -136,11 +137,11 @@
     }
 
     fn send_next(&self, state: &mut LinkState, sender: &Aio) {
-        state.sending = false;
+        state.is_sending = false;
         while let Some(message) = state.queue.pop() {
             let message = Message::from(&message[..]);
             if self.socket.send_async(sender, message).is_ok() {
-                state.sending = true;
+                state.is_sending = true;
                 return;
             }
             self.counters.increment(PeerCount::Lost);
@@ -154,17 +155,18 @@
                 return;
             };
             match event {
-                PipeEvent::AddPost => shared.lock().connected = true,
-                PipeEvent::RemovePost => shared.disconnected(),
+                PipeEvent::AddPost => shared.lock().is_connected = true,
+                PipeEvent::RemovePost => shared.on_disconnected(),
                 _ => {}
             }
         })
     }
 
-    /// Drops what waits: it would arrive at a sibling that has long given it up, or another.
-    fn disconnected(&self) {
+    /// Drops the queued messages: after a reconnect they would arrive after their senders had given
+    /// them up, or at another incarnation of the sibling.
+    fn on_disconnected(&self) {
         let mut state = self.lock();
-        state.connected = false;
+        state.is_connected = false;
         let dropped = state.queue.clear();
         self.counters.add(PeerCount::Lost, dropped);
     }
--- a/entry/src/peer_memory.rs
+++ b/entry/src/peer_memory.rs
@@ -1,4 +1,4 @@
-//! Peer messages between transports of one process, for tests.
+//! A peer transport between instances within one process, for tests.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -19,14 +19,14 @@
 
 type Inboxes = Arc<Mutex<IndexMap<Arc<str>, Sender<Envelope>>>>;
 
-/// The place where the transports of one test meet.
+/// The network that connects the transports of one test.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryNetwork {
     inboxes: Inboxes,
 }
 
 impl MemoryNetwork {
-    /// Joins an instance, in place of an earlier one of the same name.
+    /// Adds an instance; it replaces an earlier one of the same name.
     pub fn join(&self, identity: PeerIdentity) -> (MemoryTransport, Incoming) {
         let (inbox, messages) = smol::channel::bounded(MAX_INCOMING_MESSAGES);
         let mut inboxes = lock(&self.inboxes);
@@ -40,7 +40,7 @@
     }
 }
 
-/// A transport that hands messages straight to its siblings' channels.
+/// A transport that puts messages directly into the channels of its siblings.
 #[derive(Debug)]
 pub struct MemoryTransport {
     identity: PeerIdentity,
--- a/entry/src/peer_nng.rs
+++ b/entry/src/peer_nng.rs
@@ -1,6 +1,7 @@
-//! Peer messages over `nng`: a pull socket that takes them, and a push socket for each sibling.
+//! Peer transport over `nng`: a pull socket that receives, and a push socket for each sibling.
 //!
-//! Push and pull send each message at most once and answer nothing, so the library repeats none.
+//! Push and pull sockets send a message at most once and have no replies, so the library never
+//! resends one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -42,7 +43,7 @@
 /// The routes to the siblings, by their names.
 type Routes = Arc<RwLock<IndexMap<Arc<str>, PeerRoute>>>;
 
-/// The transport between entry processes.
+/// The peer transport between entry processes.
 pub struct NngTransport {
     identity: PeerIdentity,
     sealer: EnvelopeSealer,
@@ -55,7 +56,7 @@
 }
 
 impl NngTransport {
-    /// Listens for messages, which come out of the channel.
+    /// Starts to listen; received messages are sent to the returned channel.
     ///
     /// # Errors
     ///
@@ -82,7 +83,7 @@
             counters: counters.clone(),
             incoming: incoming.clone(),
         };
-        let receiver = Aio::new(move |receiver, result| inbox.take(&receiver, result))
+        let receiver = Aio::new(move |receiver, result| inbox.on_received(&receiver, result))
             .map_err(failed("prepare receiving"))?;
         socket
             .recv_async(&receiver)
@@ -100,12 +101,12 @@
         Ok((transport, messages))
     }
 
-    /// The address that it listens on.
+    /// Returns the address that it listens on.
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// What it counted.
+    /// Returns the counters of the transport.
     pub fn counters(&self) -> Arc<PeerCounters> {
         self.counters.clone()
     }
@@ -142,7 +143,7 @@
                 sibling = &*sibling.name,
                 address = %sibling.peer_address,
                 %error,
-                "open the connection to a sibling"
+                "connection to a sibling not opened"
             );
         }
         route.ok()
@@ -153,19 +154,19 @@
     fn send(&self, to: &Arc<str>, message: &PeerMessage) -> Result<(), PeerSendError> {
         let sent = self.send_sealed(to, message);
         if let Err(error) = &sent {
-            self.counters.increment(count_of(error));
+            self.counters.increment(count_for(error));
         }
         sent
     }
 
     fn set_siblings(&self, siblings: &[Sibling]) {
         let mut routes = self.routes.write().unwrap_or_else(PoisonError::into_inner);
-        let mut before = std::mem::take(&mut *routes);
+        let mut previous = std::mem::take(&mut *routes);
         for sibling in siblings {
             if sibling.name == self.identity.instance {
                 continue;
             }
-            let kept = before
+            let kept = previous
                 .swap_remove(&sibling.name)
                 .filter(|route| route.address() == sibling.peer_address);
             if let Some(route) = kept.or_else(|| self.open_route(sibling)) {
@@ -183,7 +184,7 @@
     }
 }
 
-/// Takes what the pull socket receives.
+/// Handles the messages that the pull socket receives.
 struct Inbox {
     routes: Routes,
     socket: Socket,
@@ -193,23 +194,24 @@
 }
 
 impl Inbox {
-    /// Passes a message on and waits for the next; a full channel holds the senders back.
-    fn take(&self, receiver: &Aio, result: AioResult) {
+    /// Delivers a message and starts to receive the next; a full channel blocks, which applies
+    /// backpressure to the senders.
+    fn on_received(&self, receiver: &Aio, result: AioResult) {
         match result {
-            AioResult::Recv(Ok(message)) => self.pass_on(&message),
+            AioResult::Recv(Ok(message)) => self.deliver(&message),
             AioResult::Recv(Err(nng::Error::Closed)) => return,
             _ => {}
         }
-        // Fails only when the socket is closed, which ends the receiving.
+        // Fails only when the socket is closed, which ends receiving.
         let _ = self.socket.recv_async(receiver);
     }
 
-    fn pass_on(&self, message: &Message) {
+    fn deliver(&self, message: &Message) {
         match self.sealer.open(Bytes::copy_from_slice(message)) {
             Ok(envelope) => {
-                self.heard(&envelope.sender.instance);
+                self.record_received(&envelope.sender.instance);
                 self.counters.increment(PeerCount::Received);
-                // Fails only when nobody takes messages any more.
+                // Fails only when the receiver of the channel has been dropped.
                 let _ = self.incoming.send_blocking(envelope);
             }
             Err(OpenError::Invalid(_)) => self.counters.increment(PeerCount::Invalid),
@@ -219,10 +221,10 @@
         }
     }
 
-    fn heard(&self, instance: &str) {
+    fn record_received(&self, instance: &str) {
         let routes = self.routes.read().unwrap_or_else(PoisonError::into_inner);
         if let Some(route) = routes.get(instance) {
-            route.heard();
+            route.record_received();
         }
     }
 }
@@ -240,7 +242,7 @@
     Ok(SocketAddr::new(address.ip(), port))
 }
 
-const fn count_of(error: &PeerSendError) -> PeerCount {
+const fn count_for(error: &PeerSendError) -> PeerCount {
     match error {
         PeerSendError::NotConnected { .. } => PeerCount::NotConnected,
         PeerSendError::QueueFull { .. } => PeerCount::QueueFull,
--- a/entry/src/peer_queue.rs
+++ b/entry/src/peer_queue.rs
@@ -1,17 +1,17 @@
-//! The sealed messages that wait for one sibling, bounded in number and bytes.
+//! The queue of sealed messages for one sibling, bounded in number and bytes.
 
 use std::collections::VecDeque;
 
 use almondhead_lib::peer_envelope::MAX_ENVELOPE_BYTES;
 use bytes::Bytes;
 
-/// The most messages that wait for one sibling.
+/// Maximum number of messages queued for one sibling.
 pub const MAX_QUEUED_MESSAGES: usize = 1_024;
 
-/// The most bytes that wait for one sibling.
+/// Maximum number of bytes queued for one sibling.
 pub const MAX_QUEUED_BYTES: usize = MAX_ENVELOPE_BYTES;
 
-/// Messages in the order in which they were handed over.
+/// A bounded first-in, first-out queue of messages.
 #[derive(Debug, Default)]
 pub(crate) struct PeerQueue {
     messages: VecDeque<Bytes>,
@@ -19,7 +19,7 @@
 }
 
 impl PeerQueue {
-    /// Takes a message when it fits.
+    /// Queues a message; returns false when it does not fit.
     pub(crate) fn push(&mut self, message: Bytes) -> bool {
         let queued_bytes = self.queued_bytes + message.len();
         if self.messages.len() >= MAX_QUEUED_MESSAGES || queued_bytes > MAX_QUEUED_BYTES {
@@ -30,14 +30,14 @@
         true
     }
 
-    /// The message that waits longest.
+    /// Removes and returns the oldest message.
     pub(crate) fn pop(&mut self) -> Option<Bytes> {
         let message = self.messages.pop_front()?;
         self.queued_bytes -= message.len();
         Some(message)
     }
 
-    /// Drops all messages and gives how many there were.
+    /// Drops all messages and returns how many there were.
     pub(crate) fn clear(&mut self) -> usize {
         let dropped = self.messages.len();
         self.messages = VecDeque::new();
--- a/entry/src/peer_route.rs
+++ b/entry/src/peer_route.rs
@@ -1,4 +1,4 @@
-//! The way to one sibling: a link, and a spare one when the link may be dead without showing it.
+//! The route to one sibling: a link, and a spare link when the first may be dead undetected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use crate::peer_link::LinkRefusal;
 use crate::peer_link::PeerLink;
 
-/// How long messages go out unanswered before another connection is tried.
+/// How long sent messages may remain unanswered before a spare connection is opened.
 ///
-/// After a cut, TCP itself sends again only after a pause as long as the cut was.
-const SILENCE_LIMIT: Duration = Duration::from_secs(2);
+/// After a network cut, TCP retransmits only after a backoff that is as long as the cut was.
+const UNANSWERED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Sends to one sibling over the newest link that connected.
 #[derive(Debug)]
@@ -30,21 +30,22 @@
 #[derive(Debug)]
 struct RouteState {
     link: PeerLink,
-    spare: Option<Spare>,
-    /// The link before, while it still sends what it took.
+    spare: Option<SpareLink>,
+    /// The previous link, while it still sends its queued messages.
     retired: Option<PeerLink>,
-    /// When the first message after the last sign of the sibling went out.
-    unheard_since: Option<Instant>,
+    /// When the first message was sent after the last one received from the sibling.
+    unanswered_since: Option<Instant>,
 }
 
+/// A second link that is still connecting.
 #[derive(Debug)]
-struct Spare {
+struct SpareLink {
     link: PeerLink,
     opened_at: Instant,
 }
 
 impl PeerRoute {
-    /// A route that starts to connect to `address`.
+    /// Opens a route, which starts to connect to `address`.
     pub(crate) fn open(address: SocketAddr, counters: Arc<PeerCounters>) -> nng::Result<Self> {
         let link = PeerLink::open(address, counters.clone())?;
         Ok(PeerRoute {
@@ -54,36 +55,38 @@
                 link,
                 spare: None,
                 retired: None,
-                unheard_since: None,
+                unanswered_since: None,
             }),
         })
     }
 
-    /// Where the sibling listens.
+    /// Returns the address that the sibling listens on.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a sealed message after those that wait.
+    /// Sends a sealed message after those that are queued.
     pub(crate) fn send(&self, message: Bytes) -> Result<(), LinkRefusal> {
         let now = Instant::now();
         let mut state = self.lock();
-        self.renew(&mut state, now);
+        self.update_links(&mut state, now);
         state.link.send(message)?;
-        state.unheard_since.get_or_insert(now);
+        state.unanswered_since.get_or_insert(now);
         Ok(())
     }
 
-    /// Notes that the sibling sent a message.
-    pub(crate) fn heard(&self) {
+    /// Records that a message from the sibling was received.
+    pub(crate) fn record_received(&self) {
         let mut state = self.lock();
-        state.unheard_since = None;
+        state.unanswered_since = None;
         if let Some(spare) = state.spare.take() {
             close(spare.link);
         }
     }
 
-    fn renew(&self, state: &mut RouteState, now: Instant) {
+    /// Switches to the spare link once it is connected, and opens one when the link in use is
+    /// connected but its messages remain unanswered.
+    fn update_links(&self, state: &mut RouteState, now: Instant) {
         if let Some(idle) = state.retired.take_if(|link| link.is_idle()) {
             close(idle);
         }
@@ -92,21 +95,24 @@
             if let Some(older) = state.retired.replace(link) {
                 close(older);
             }
-            state.unheard_since = None;
+            state.unanswered_since = None;
         }
-        let silent_since = |since: Instant| now.duration_since(since) >= SILENCE_LIMIT;
-        let silent = state.unheard_since.is_some_and(silent_since);
-        let tried = state.spare.as_ref().map(|spare| spare.opened_at);
-        if !silent || !state.link.is_connected() || tried.is_some_and(|at| !silent_since(at)) {
+        let is_timed_out = |since: Instant| now.duration_since(since) >= UNANSWERED_TIMEOUT;
+        let is_unanswered = state.unanswered_since.is_some_and(is_timed_out);
+        let spare_opened_at = state.spare.as_ref().map(|spare| spare.opened_at);
+        if !is_unanswered
+            || !state.link.is_connected()
+            || spare_opened_at.is_some_and(|at| !is_timed_out(at))
+        {
             return;
         }
         let opened = PeerLink::open(self.address, self.counters.clone()).ok();
-        let spare = opened.map(|link| Spare {
+        let spare = opened.map(|link| SpareLink {
             link,
             opened_at: now,
         });
-        if let Some(tried) = std::mem::replace(&mut state.spare, spare) {
-            close(tried.link);
+        if let Some(failed) = std::mem::replace(&mut state.spare, spare) {
+            close(failed.link);
         }
     }
 
@@ -115,7 +121,7 @@
     }
 }
 
-/// Closes a link elsewhere, since closing waits for the library's threads.
+/// Closes a link on a blocking thread, because closing waits for the library's threads.
 fn close(link: PeerLink) {
     smol::unblock(move || drop(link)).detach();
 }
