--- a/entry/src/claim_queue.rs
+++ b/entry/src/claim_queue.rs
@@ -1,4 +1,4 @@
-//! Claims of idempotency keys in the platform's table, many in one write.
+//! Claims of idempotency keys in the platform's table, grouped into writes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,20 +24,21 @@
 use crate::settings::PlatformSettings;
 use crate::timer::TimerService;
 
-/// The platform's table that holds the claims.
+/// The name of the platform's table that holds the claims.
 pub const CLAIMS_TABLE: &str = "claims";
 
+/// How long claims are reported as unavailable without a write after a write has failed.
 const PAUSE_AFTER_FAILURE: Duration = Duration::from_millis(500);
 
-/// A claim to make.
+/// A claim of an idempotency key that is to be written.
 pub(crate) struct ClaimRequest {
-    /// The number under which the end is reported.
+    /// The number under which the result is reported.
     pub(crate) claim: u64,
-    /// The key.
+    /// The key to claim.
     pub(crate) key: ClaimKey,
 }
 
-/// An idempotency key as the table names it.
+/// The key of a claim's row in the table: the team, encoded, and the idempotency key.
 #[value]
 pub(crate) struct ClaimKey(String);
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Takes claims for the next write.
+/// Queues claims for the next write; clones share one bounded queue.
 #[derive(Clone)]
 pub(crate) struct ClaimQueue(Sender<ClaimRequest>);
 
@@ -61,8 +62,9 @@
 }
 
 impl ClaimRow {
-    /// The incarnation that wrote the row and its claim; none when it is malformed.
-    fn end(value: &[u8]) -> Option<ClaimEnd> {
+    /// Returns the incarnation that wrote the row and the number of its claim; none when the row is
+    /// malformed.
+    fn decode(value: &[u8]) -> Option<ClaimEnd> {
         let row = serde_json::from_slice::<ClaimRow>(value).ok()?;
         let incarnation = u64::from_str_radix(&row.incarnation, 16).ok()?;
         let home = PeerIdentity {
@@ -74,7 +76,7 @@
     }
 }
 
-/// Writes the claims, one group at a time, within a budget of writes.
+/// Writes queued claims, one group at a time, at a limited rate of writes.
 pub(crate) struct ClaimWriter {
     identity: PeerIdentity,
     platform: Arc<dyn Platform>,
@@ -89,7 +91,7 @@
 }
 
 impl ClaimQueue {
-    /// Queues a claim; says no when the queue is full.
+    /// Queues a claim; returns false when the queue is full.
     pub(crate) fn push(&self, request: ClaimRequest) -> bool {
         self.0.try_send(request).is_ok()
     }
@@ -121,7 +123,7 @@
         (ClaimQueue(sender), writer)
     }
 
-    /// Runs until every queue is gone.
+    /// Runs until every [`ClaimQueue`] has been dropped.
     pub(crate) async fn run(mut self) {
         while let Ok(first) = self.requests.recv().await {
             if self.clock.now() < self.refuse_until {
@@ -170,7 +172,7 @@
         NewRow {
             key: request.key.0.clone(),
             value: serde_json::to_vec(&value)
-                .expect("claims have text keys only")
+                .expect("a claim row has only string keys")
                 .into(),
         }
     }
@@ -194,10 +196,10 @@
 }
 
 fn row_end(value: &[u8]) -> ClaimEnd {
-    ClaimRow::end(value).unwrap_or(ClaimEnd::Unavailable)
+    ClaimRow::decode(value).unwrap_or(ClaimEnd::Unavailable)
 }
 
-/// Reads who claimed a key.
+/// Reads from the table which incarnation has claimed a key.
 pub(crate) async fn find_home(platform: &dyn Platform, key: &ClaimKey) -> ClaimEnd {
     match platform.read(CLAIMS_TABLE, &key.0).await {
         Ok(Some(row)) => row_end(&row.value),
--- a/entry/src/document_watch.rs
+++ b/entry/src/document_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the document and hands each higher revision to the dispatcher.
+//! Polls the document in the platform's store and hands each higher revision to the dispatcher.
 
 use std::fs;
 use std::io;
@@ -21,27 +21,27 @@
 use crate::driver_handle::DriverHandle;
 use crate::timer::TimerService;
 
-/// The revision of a document that comes from a file.
+/// The revision under which a document from a file is installed.
 const FILE_REVISION: u64 = 1;
 
-/// A document file that cannot be used.
+/// Why a document file cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum DocumentFileError {
     /// The file cannot be read.
     #[display("read document {}: {source}", file.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// The document does not pass the checker.
+    /// The document is not valid.
     #[display("check document {}: {} problems, the first at {}: {}",
         file.display(), problems.len(), first_path(problems), first_reason(problems))]
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Every fault found.
+        /// Every problem found.
         #[error(not(source))]
         problems: Vec<Problem>,
     },
@@ -59,7 +59,7 @@
 ///
 /// # Errors
 ///
-/// A file that cannot be read, or whose document does not pass the checker.
+/// [`DocumentFileError`] when the file cannot be read or its document is not valid.
 pub(crate) async fn install_file(
     file: &Path,
     driver: &DriverHandle,
@@ -72,11 +72,11 @@
         file: file.to_owned(),
         problems,
     })?;
-    hand_over(driver, FILE_REVISION, document, text).await;
+    install(driver, FILE_REVISION, document, text).await;
     Ok(())
 }
 
-/// Looks at the head in the platform's store again and again.
+/// Polls the head of the document in the platform's store.
 pub(crate) struct DocumentWatch {
     store: DocumentStore,
     driver: DriverHandle,
@@ -99,13 +99,13 @@
         let mut ticks = timer.every(period);
         loop {
             ticks.next().await;
-            let looked = self.look().await;
-            self.note_reachable(looked);
+            let polled = self.poll().await;
+            self.record_reachability(polled);
         }
     }
 
-    /// Hands over the head's document where its revision is higher than all before.
-    async fn look(&mut self) -> Result<(), DocumentStoreError> {
+    /// Reads and installs the head's document if its revision is higher than any read before.
+    async fn poll(&mut self) -> Result<(), DocumentStoreError> {
         let Some(head) = self.store.head().await? else {
             return Ok(());
         };
@@ -114,16 +114,16 @@
         }
         let text = self.store.load(&head).await?;
         self.read_revision = head.revision;
-        self.take(&head, text).await;
+        self.check_and_install(&head, text).await;
         Ok(())
     }
 
-    async fn take(&self, head: &Head, text: String) {
+    async fn check_and_install(&self, head: &Head, text: String) {
         let revision = head.revision;
         match check_document(&text) {
             Ok(document) => {
                 tracing::info!(revision, author = %head.author, "document read");
-                hand_over(&self.driver, revision, document, text).await;
+                install(&self.driver, revision, document, text).await;
             }
             Err(problems) => {
                 let first = first_reason(&problems);
@@ -137,10 +137,10 @@
         }
     }
 
-    fn note_reachable(&mut self, looked: Result<(), DocumentStoreError>) {
-        let is_reachable = looked.is_ok();
-        match looked {
-            Ok(()) if !self.is_reachable => tracing::info!("document store answers again"),
+    fn record_reachability(&mut self, polled: Result<(), DocumentStoreError>) {
+        let is_reachable = polled.is_ok();
+        match polled {
+            Ok(()) if !self.is_reachable => tracing::info!("document store reachable again"),
             Err(error) if self.is_reachable => tracing::warn!(%error, "document not read"),
             _ => {}
         }
@@ -148,7 +148,7 @@
     }
 }
 
-async fn hand_over(driver: &DriverHandle, revision: u64, document: Document, text: String) {
+async fn install(driver: &DriverHandle, revision: u64, document: Document, text: String) {
     let event = Event::DocumentInstalled {
         revision,
         document: Arc::new(document),
--- a/entry/src/hop_tracker.rs
+++ b/entry/src/hop_tracker.rs
@@ -1,4 +1,4 @@
-//! The spans of hops that begin and end with events and actions of the dispatcher.
+//! Tracing spans of the hops that begin and end with events and actions of the dispatcher.
 
 use std::sync::Arc;
 
@@ -18,24 +18,24 @@
 use crate::spans::HopSpan;
 use crate::spans::Spans;
 
-/// The most spans that are open at a time; the oldest ends early beyond it.
+/// Maximum number of open spans; beyond it one of them ends early.
 const MAX_OPEN_SPANS: usize = 20_000;
 
-/// Follows jobs at their home, and messages to siblings until their answers.
+/// Keeps a span open for each job at its home and for each message to a sibling until its answer.
 pub(crate) struct HopTracker {
-    own: Incarnation,
+    own_incarnation: Incarnation,
     spans: Spans,
     open: IndexMap<OpenHop, OpenSpan>,
 }
 
-/// What an open span waits for.
+/// What ends an open span.
 #[value]
 #[derive(Hash)]
 enum OpenHop {
     /// The answer to a caller's request.
     Request(RequestId),
-    /// The answer to a sibling's forwarded request.
-    Sibling {
+    /// The answer to a request that a sibling forwarded.
+    SiblingRequest {
         instance: Arc<str>,
         correlation: u64,
     },
@@ -45,21 +45,22 @@
     Batch { instance: Arc<str>, batch: BatchId },
 }
 
+/// A span with the number of its tasks that have not ended.
 struct OpenSpan {
     _span: HopSpan,
     open_tasks: usize,
 }
 
 impl HopTracker {
-    pub(crate) fn new(own: Incarnation, spans: Spans) -> Self {
+    pub(crate) fn new(own_incarnation: Incarnation, spans: Spans) -> Self {
         HopTracker {
-            own,
+            own_incarnation,
             spans,
             open: IndexMap::new(),
         }
     }
 
-    /// Begins and ends spans for an event, whose jobs continue the trace below them.
+    /// Begins and ends spans for an event; sets the span as parent of the event's job.
     pub(crate) fn before_event(&mut self, event: &mut Event) {
         if !self.spans.is_recording() {
             return;
@@ -71,7 +72,7 @@
                 submission,
             } if self.is_home(address) => {
                 let hop = OpenHop::Request(*request);
-                self.begin_job(hop, Hop::Home, submission);
+                self.begin_submission(hop, Hop::Home, submission);
             }
             Event::RequestDropped { request } => self.end(&OpenHop::Request(*request)),
             Event::PeerMessage { sender, message } => self.before_message(sender, message),
@@ -82,12 +83,12 @@
 
     fn before_message(&mut self, sender: &PeerIdentity, message: &mut PeerMessage) {
         let instance = Arc::clone(&sender.instance);
-        if let Some((correlation, submission)) = forwarded_job(message) {
-            let hop = OpenHop::Sibling {
+        if let Some((correlation, submission)) = forwarded_submission(message) {
+            let hop = OpenHop::SiblingRequest {
                 instance,
                 correlation,
             };
-            return self.begin_job(hop, Hop::Home, submission);
+            return self.begin_submission(hop, Hop::Home, submission);
         }
         match message {
             PeerMessage::RequestAnswer { correlation, .. }
@@ -107,27 +108,27 @@
         }
     }
 
-    /// Ends the span of a caller's request that gets its answer.
+    /// Ends the span of a caller's request that is about to be answered.
     pub(crate) fn before_answer(&mut self, request: RequestId) {
         if self.spans.is_recording() {
             self.end(&OpenHop::Request(request));
         }
     }
 
-    /// Begins and ends spans for a message that goes out, which carries the trace on.
+    /// Begins and ends spans for an outgoing message; sets the span as parent of the message's tasks.
     pub(crate) fn before_send(&mut self, instance: &Arc<str>, message: &mut PeerMessage) {
         if !self.spans.is_recording() {
             return;
         }
-        if let Some((correlation, submission)) = forwarded_job(message) {
+        if let Some((correlation, submission)) = forwarded_submission(message) {
             let hop = OpenHop::Forward { correlation };
-            return self.begin_job(hop, Hop::Forward, submission);
+            return self.begin_submission(hop, Hop::Forward, submission);
         }
         match message {
             PeerMessage::RequestAnswer { correlation, .. } => {
                 let correlation = *correlation;
                 let instance = Arc::clone(instance);
-                self.end(&OpenHop::Sibling {
+                self.end(&OpenHop::SiblingRequest {
                     instance,
                     correlation,
                 });
@@ -162,18 +163,18 @@
 
     fn is_home(&self, address: &JobAddress) -> bool {
         match address {
-            JobAddress::Session { session, .. } => session.home == self.own,
+            JobAddress::Session { session, .. } => session.home == self.own_incarnation,
             JobAddress::Key { .. } | JobAddress::Single => true,
         }
     }
 
-    fn begin_job(&mut self, open: OpenHop, hop: Hop, submission: &mut Arc<Submission>) {
+    fn begin_submission(&mut self, open_hop: OpenHop, hop: Hop, submission: &mut Arc<Submission>) {
         let span = self.spans.start(hop, submission.traceparent.as_deref());
         Arc::make_mut(submission).traceparent = span.traceparent();
-        self.begin(open, span, 1);
+        self.begin(open_hop, span, 1);
     }
 
-    fn begin(&mut self, hop: OpenHop, span: HopSpan, open_tasks: usize) {
+    fn begin(&mut self, open_hop: OpenHop, span: HopSpan, open_tasks: usize) {
         if self.open.len() >= MAX_OPEN_SPANS {
             self.open.swap_remove_index(0);
         }
@@ -181,26 +182,26 @@
             _span: span,
             open_tasks,
         };
-        self.open.insert(hop, span);
+        self.open.insert(open_hop, span);
     }
 
-    fn end_tasks(&mut self, hop: &OpenHop, ended_tasks: usize) {
-        let Some(span) = self.open.get_mut(hop) else {
+    fn end_tasks(&mut self, open_hop: &OpenHop, ended_tasks: usize) {
+        let Some(span) = self.open.get_mut(open_hop) else {
             return;
         };
         span.open_tasks = span.open_tasks.saturating_sub(ended_tasks);
         if span.open_tasks == 0 {
-            self.end(hop);
+            self.end(open_hop);
         }
     }
 
-    fn end(&mut self, hop: &OpenHop) {
-        self.open.swap_remove(hop);
+    fn end(&mut self, open_hop: &OpenHop) {
+        self.open.swap_remove(open_hop);
     }
 }
 
-/// The number and the job of a forwarded submission.
-fn forwarded_job(message: &mut PeerMessage) -> Option<(u64, &mut Arc<Submission>)> {
+/// Returns the correlation number and the submission of a forwarded job.
+fn forwarded_submission(message: &mut PeerMessage) -> Option<(u64, &mut Arc<Submission>)> {
     match message {
         PeerMessage::ForwardRequest {
             correlation,
--- a/entry/src/upstream_client.rs
+++ b/entry/src/upstream_client.rs
@@ -1,4 +1,4 @@
-//! Attempts at upstreams over HTTP, and what their ends prove.
+//! Runs attempts at upstreams over HTTP and derives from their ends whether a task ran.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -34,29 +34,30 @@
 /// The header that names the task, in requests and in answers.
 pub const TASK_ID: &str = "task-id";
 
-/// The header by which a guard proves that the named task did not run.
+/// The header by which an upstream's guard declares that the named task did not run.
 pub const TASK_NOT_RUN: &str = "task-not-run";
 
-/// The header that tells how long the caller of a task still waits, in milliseconds.
+/// The header that states how long the sender of a task still waits for the answer, in milliseconds.
 pub const TASK_TIMEOUT_MS: &str = "task-timeout-ms";
 
 const TRACEPARENT: &str = "traceparent";
+/// How long a request to stop tasks may take.
 const STOP_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs attempts, over connections that are kept per upstream.
+/// Runs attempts over pooled connections to the upstreams.
 pub(crate) struct UpstreamClient {
     clock: Clock,
     spans: Spans,
     clients: Mutex<IndexMap<ClientKind, Arc<HttpClient>>>,
 }
 
-/// The body of a stop message.
+/// The body of a request to stop tasks.
 #[derive(Serialize)]
 struct StopRequest {
     task_ids: Vec<String>,
 }
 
-/// What tells the HTTP clients of upstreams apart.
+/// The settings that upstreams sharing an HTTP client have in common.
 #[key]
 struct ClientKind {
     http2: bool,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Runs one attempt to its end, unless the point before which it must start has passed.
+    /// Runs one attempt to its end; it is not started once `start_before` has passed.
     pub(crate) async fn run(&self, attempt: &Attempt) -> AttemptEnd {
         let mut span = self
             .spans
@@ -96,12 +97,12 @@
         end
     }
 
-    /// Asks an upstream to stop tasks; whether it does shows in the ends of their attempts.
+    /// Asks an upstream to stop tasks; whether they stopped is reported by the ends of their attempts.
     pub(crate) async fn stop(&self, target: &UpstreamTarget, tasks: &[TaskId]) {
         let stop = StopRequest {
             task_ids: tasks.iter().map(ToString::to_string).collect(),
         };
-        let body = serde_json::to_vec(&stop).expect("task ids are plain text");
+        let body = serde_json::to_vec(&stop).expect("task ids are visible ASCII");
         let path = stop_path(&target.path);
         let mut request = HttpRequest::new(Method::POST, target.address, path).with_body(body);
         request
@@ -109,7 +110,7 @@
             .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         let sent = self.client(target).send(request, STOP_TIMEOUT).await;
         if let Err(error) = sent {
-            tracing::debug!(upstream = %target.name, %error, "stop message lost");
+            tracing::debug!(upstream = %target.name, %error, "stop request failed");
         }
     }
 
@@ -139,7 +140,7 @@
     }
 }
 
-/// The path beside the one that runs a task, which stops tasks.
+/// Returns the path that stops tasks: `stop`, as sibling of the path that runs a task.
 fn stop_path(run_path: &str) -> String {
     let parent = run_path.rsplit_once('/').map_or("", |(parent, _)| parent);
     format!("{parent}/stop")
@@ -154,7 +155,7 @@
     let task_id = HeaderValue::try_from(attempt.task.to_string());
     headers.insert(
         HeaderName::from_static(TASK_ID),
-        task_id.expect("task ids are plain text"),
+        task_id.expect("task ids are visible ASCII"),
     );
     if let Some(Ok(traceparent)) = traceparent.map(HeaderValue::try_from) {
         headers.insert(HeaderName::from_static(TRACEPARENT), traceparent);
@@ -171,7 +172,7 @@
     request
 }
 
-/// What a whole response proves of the task `task_id`.
+/// Derives the end of the attempt at task `task_id` from a complete response.
 fn response_end(response: &HttpResponse, task_id: &str) -> AttemptEnd {
     let is_success = response.status.is_success();
     if response.header(TASK_NOT_RUN) == Some(task_id) && !is_success {
@@ -190,7 +191,7 @@
     }
 }
 
-/// What an exchange without a whole response proves.
+/// Derives the end of an attempt from an exchange without a complete response.
 fn error_end(error: &ExchangeError) -> AttemptEnd {
     if error.sent == Sent::Nothing {
         return AttemptEnd::NotStarted(NotStartedCause::NotSent);
@@ -202,7 +203,7 @@
     })
 }
 
-/// The name of an attempt's end in metrics and spans.
+/// Returns the name of an attempt's end in metrics and spans.
 pub(crate) fn end_name(end: &AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::NotStarted(NotStartedCause::NotSent) => "not_sent",
