--- a/entry/src/caller_api.rs
+++ b/entry/src/caller_api.rs
@@ -9,7 +9,7 @@
 
 use crate::bind::bind;
 use crate::caller_context::CallerContext;
-use crate::guarded_transport::note_request;
+use crate::guarded_transport::mark_request_received;
 use crate::job_handlers::cancel_keyed;
 use crate::job_handlers::cancel_numbered;
 use crate::job_handlers::look_up_keyed;
@@ -43,7 +43,7 @@
 
 /// Gives the answer the request's own id, and closes the connection when stopping.
 async fn name_request(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    note_request(&conn);
+    mark_request_received(&conn);
     let conn = match context.stopping.is_set() {
         true => conn.with_response_header("connection", "close"),
         false => conn,
--- a/entry/src/driver.rs
+++ b/entry/src/driver.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the dispatcher: events in, actions out.
+//! The task that owns the dispatcher: it feeds in events and carries out the actions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -21,7 +21,7 @@
 use crate::hop_tracker::HopTracker;
 use crate::timer::TimerService;
 
-/// What the driver is asked to do.
+/// A command to the driver.
 pub(crate) enum Command {
     /// Hand an event to the dispatcher.
     Event(Event),
@@ -29,9 +29,9 @@
     Request {
         /// The request.
         request: RequestId,
-        /// The event that names the request.
+        /// The event that carries the request.
         event: Event,
-        /// Where its answer goes.
+        /// Receives the answer.
         reply: Sender<Arc<JobAnswer>>,
     },
     /// Open a session.
@@ -40,22 +40,23 @@
     Status(Sender<DriverStatus>),
 }
 
-/// A reading of the dispatcher's state.
+/// A snapshot of the dispatcher's state.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DriverStatus {
-    /// The dispatcher's own reading.
+    /// The dispatcher's own status.
     pub(crate) dispatcher: DispatcherStatus,
-    /// Whether nothing is open: no request, no attempt, no batch.
+    /// Whether no request, attempt or batch is open.
     pub(crate) is_idle: bool,
 }
 
+/// Why the driver woke up.
 enum Wakeup {
     Command(Command),
     Timer,
     Closed,
 }
 
-/// Owns the dispatcher and the requests that wait for their answers.
+/// Owns the dispatcher and the requests that wait for their answers; runs as a single task.
 pub(crate) struct Driver {
     dispatcher: Dispatcher,
     clock: Clock,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// Runs until every sender of commands is gone.
+    /// Runs until every sender of commands has been dropped.
     pub(crate) async fn run(mut self) {
         loop {
             match self.next_wakeup().await {
-                Wakeup::Command(command) => self.take(command),
-                Wakeup::Timer => self.handle(Event::Tick),
+                Wakeup::Command(command) => self.handle_command(command),
+                Wakeup::Timer => self.handle_event(Event::Tick),
                 Wakeup::Closed => return,
             }
         }
@@ -121,13 +122,13 @@
         or(command, timer).await
     }
 
-    fn take(&mut self, command: Command) {
+    fn handle_command(&mut self, command: Command) {
         match command {
             Command::Event(event) => {
                 if let Event::RequestDropped { request } = &event {
                     self.replies.swap_remove(request);
                 }
-                self.handle(event);
+                self.handle_event(event);
             }
             Command::Request {
                 request,
@@ -135,7 +136,7 @@
                 reply,
             } => {
                 self.replies.insert(request, reply);
-                self.handle(event);
+                self.handle_event(event);
             }
             Command::OpenSession(reply) => {
                 let opened = self.dispatcher.open_session(self.clock.now());
@@ -148,8 +149,8 @@
         }
     }
 
-    /// Hands an event to the dispatcher, and then those that its actions bring about at once.
-    fn handle(&mut self, event: Event) {
+    /// Hands an event to the dispatcher, then the events that its actions caused directly.
+    fn handle_event(&mut self, event: Event) {
         self.follow_ups.push_back(event);
         while let Some(event) = self.follow_ups.pop_front() {
             self.handle_one(event);
--- a/entry/src/guarded_transport.rs
+++ b/entry/src/guarded_transport.rs
@@ -1,4 +1,4 @@
-//! Connections of callers within their limits: how many, how long unused, how much unanswered.
+//! Limits on callers' connections: their number, their idle time and the bytes sent before an answer.
 
 use std::any::Any;
 use std::borrow::Cow;
@@ -23,35 +23,35 @@
 
 use crate::settings::Limits;
 
-/// What HTTP/2 connections start with.
-const HTTP2_START: &[u8] = b"PRI ";
+/// The first bytes of the HTTP/2 connection preface.
+const HTTP2_PREFACE_START: &[u8] = b"PRI ";
 
-/// What a caller may send beyond head and body, for the framing of chunks.
-const FRAMING_BYTES: u64 = 64 * 1024;
+/// Allowance for chunk framing, on top of the limits on head and body.
+const MAX_FRAMING_BYTES: u64 = 64 * 1024;
 
-/// Guards each connection that a listener accepts.
+/// Wraps each connection that a listener accepts in a [`GuardedTransport`].
 #[derive(Clone)]
 pub(crate) struct GuardingAcceptor {
-    open: Arc<AtomicUsize>,
-    connections: usize,
-    idle: Duration,
-    unanswered_bytes: u64,
+    open_connections: Arc<AtomicUsize>,
+    max_connections: usize,
+    idle_timeout: Duration,
+    max_unanswered_bytes: u64,
 }
 
-/// A connection that ends itself when it stands unused or sends without end.
+/// A connection that fails when it is idle too long or receives too many bytes before an answer.
 pub(crate) struct GuardedTransport {
     inner: Box<dyn Transport>,
     _open: OpenConnection,
-    is_refused: bool,
+    is_over_limit: bool,
     is_http2: bool,
     is_answering: AtomicBool,
-    idle: Duration,
+    idle_timeout: Duration,
     idle_timer: Timer,
     max_unanswered_bytes: u64,
     unanswered_bytes: u64,
 }
 
-/// One open connection, counted as long as it lives.
+/// One open connection; it is counted until it is dropped.
 struct OpenConnection(Arc<AtomicUsize>);
 
 impl Drop for OpenConnection {
@@ -64,12 +64,12 @@
     pub(crate) fn new(limits: &Limits) -> Self {
         let head_bytes = u64::try_from(limits.head_bytes).unwrap_or(u64::MAX);
         GuardingAcceptor {
-            open: Arc::default(),
-            connections: limits.connections,
-            idle: Duration::from_millis(limits.idle_ms),
-            unanswered_bytes: head_bytes
+            open_connections: Arc::default(),
+            max_connections: limits.connections,
+            idle_timeout: Duration::from_millis(limits.idle_ms),
+            max_unanswered_bytes: head_bytes
                 .saturating_add(limits.body_bytes.saturating_mul(2))
-                .saturating_add(FRAMING_BYTES),
+                .saturating_add(MAX_FRAMING_BYTES),
         }
     }
 }
@@ -78,18 +78,18 @@
     type Output = GuardedTransport;
     type Error = io::Error;
 
-    /// Takes a connection; one above the limit is closed as if its caller had closed it.
+    /// Accepts a connection; one above the limit reads as closed by its caller.
     async fn accept(&self, input: Input) -> Result<GuardedTransport, io::Error> {
-        let open_before = self.open.fetch_add(1, Ordering::AcqRel);
+        let open_before = self.open_connections.fetch_add(1, Ordering::AcqRel);
         Ok(GuardedTransport {
             inner: Box::new(input),
-            _open: OpenConnection(Arc::clone(&self.open)),
-            is_refused: open_before >= self.connections,
+            _open: OpenConnection(Arc::clone(&self.open_connections)),
+            is_over_limit: open_before >= self.max_connections,
             is_http2: false,
             is_answering: AtomicBool::new(false),
-            idle: self.idle,
-            idle_timer: Timer::after(self.idle),
-            max_unanswered_bytes: self.unanswered_bytes,
+            idle_timeout: self.idle_timeout,
+            idle_timer: Timer::after(self.idle_timeout),
+            max_unanswered_bytes: self.max_unanswered_bytes,
             unanswered_bytes: 0,
         })
     }
@@ -99,8 +99,9 @@
     }
 }
 
-/// Notes that a request's head is there: its answer may take longer than a connection may be idle.
-pub(crate) fn note_request(conn: &Conn) {
+/// Suspends the idle timeout of a request's connection until an answer is written: the answer may
+/// take longer than a connection may be idle.
+pub(crate) fn mark_request_received(conn: &Conn) {
     let http: &trillium_http::Conn<Box<dyn Transport>> = conn.as_ref();
     let transport: &dyn Any = &**http.transport();
     if let Some(guarded) = transport.downcast_ref::<GuardedTransport>() {
@@ -110,7 +111,7 @@
 
 impl GuardedTransport {
     fn count_read(&mut self, bytes: &[u8]) -> io::Result<()> {
-        if self.unanswered_bytes == 0 && bytes.starts_with(HTTP2_START) {
+        if self.unanswered_bytes == 0 && bytes.starts_with(HTTP2_PREFACE_START) {
             self.is_http2 = true;
         }
         let read_bytes = u64::try_from(bytes.len()).unwrap_or(u64::MAX);
@@ -118,7 +119,7 @@
         if self.unanswered_bytes > self.max_unanswered_bytes && !self.is_http2 {
             return Err(io::Error::new(
                 ErrorKind::InvalidData,
-                "sent too much before the answer",
+                "caller sent too many bytes before an answer",
             ));
         }
         Ok(())
@@ -129,10 +130,10 @@
         !may_wait && Pin::new(&mut self.idle_timer).poll(context).is_ready()
     }
 
-    fn note_answer(&mut self) {
+    fn mark_answered(&mut self) {
         self.unanswered_bytes = 0;
         self.is_answering.store(false, Ordering::Release);
-        self.idle_timer.set_after(self.idle);
+        self.idle_timer.set_after(self.idle_timeout);
     }
 }
 
@@ -142,7 +143,7 @@
         context: &mut Context<'_>,
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
-        if self.is_refused {
+        if self.is_over_limit {
             return Poll::Ready(Ok(0));
         }
         match Pin::new(&mut self.inner).poll_read(context, buffer) {
@@ -166,7 +167,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.inner).poll_write(context, buffer);
         if written.is_ready() {
-            self.note_answer();
+            self.mark_answered();
         }
         written
     }
--- a/entry/src/instance_watch.rs
+++ b/entry/src/instance_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's list of instances and keeps this one on it.
+//! Polls the platform's list of instances and keeps this instance's entry in it up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,29 +19,31 @@
 use crate::stopping::Stopping;
 use crate::timer::TimerService;
 
-/// Lists in a row that must lack an instance before its incarnation counts as ended.
-const ABSENT_LISTS: u32 = 3;
+/// Number of consecutive lists that must lack an instance before its incarnation counts as ended.
+const ENDED_AFTER_ABSENT_LISTS: u32 = 3;
 
-const MAX_ENDED: usize = 1_000;
+/// Maximum number of ended incarnations that are kept; beyond it the oldest are dropped.
+const MAX_ENDED_INCARNATIONS: usize = 1_000;
 
-/// Looks at the list again and again and tells the dispatcher of changes.
+/// Polls the list and reports changes of the membership to the dispatcher.
 pub(crate) struct InstanceWatch {
     pub(crate) own: ListedInstance,
     pub(crate) platform: Arc<dyn Platform>,
     pub(crate) driver: DriverHandle,
     pub(crate) peers: Arc<dyn PeerTransport>,
     pub(crate) stopping: Stopping,
-    pub(crate) seen: Seen,
+    pub(crate) history: ListHistory,
 }
 
-/// What the lists so far have shown.
+/// What is derived from the lists read so far.
 #[derive(Default)]
-pub(crate) struct Seen {
+pub(crate) struct ListHistory {
     reported: Membership,
-    last: IndexMap<Arc<str>, LastSeen>,
-    ended: Vec<Incarnation>,
+    last_seen: IndexMap<Arc<str>, LastSeen>,
+    ended_incarnations: Vec<Incarnation>,
 }
 
+/// A sibling's last listed incarnation, and how many lists in a row have lacked the sibling since.
 struct LastSeen {
     incarnation: Incarnation,
     absent_lists: u32,
@@ -56,7 +58,7 @@
             ticks.next().await;
             match self.platform.list_instances().await {
                 Ok(list) => {
-                    self.take(&list).await;
+                    self.apply_list(&list).await;
                     is_reachable = true;
                 }
                 Err(error) => {
@@ -69,11 +71,11 @@
         }
     }
 
-    async fn take(&mut self, list: &InstanceList) {
-        self.note_leaving(list).await;
+    async fn apply_list(&mut self, list: &InstanceList) {
+        self.stop_if_listed_leaving(list).await;
         self.announce(list).await;
-        let membership = self.seen.membership(list, &self.own.name);
-        if membership == self.seen.reported {
+        let membership = self.history.membership(list, &self.own.name);
+        if membership == self.history.reported {
             return;
         }
         tracing::info!(
@@ -82,26 +84,26 @@
             leaving_upstreams = membership.leaving_upstreams.len(),
             "membership changed"
         );
-        self.seen.reported = membership.clone();
+        self.history.reported = membership.clone();
         self.peers.set_siblings(&membership.siblings);
         self.driver.send(Event::MembershipChanged(membership)).await;
     }
 
-    /// Takes no new work once the platform lists this run of the process as leaving.
-    async fn note_leaving(&mut self, list: &InstanceList) {
+    /// Makes the dispatcher accept no new work once the platform lists this incarnation as leaving.
+    async fn stop_if_listed_leaving(&mut self, list: &InstanceList) {
         let is_own = |listed: &&ListedInstance| {
             listed.name == self.own.name && listed.incarnation == self.own.incarnation
         };
         let listed = list.instances.iter().find(is_own);
         let is_leaving = listed.is_some_and(|listed| listed.state == InstanceState::Leaving);
         if is_leaving && self.own.state == InstanceState::Live {
-            tracing::info!("leaving, as the platform lists");
+            tracing::info!("the platform lists this instance as leaving: no new work is accepted");
             self.own.state = InstanceState::Leaving;
             self.driver.send(Event::StopRequested).await;
         }
     }
 
-    /// Puts this instance on the list where it is not, or not as it is now.
+    /// Announces this instance to the platform when its entry is missing or out of date.
     async fn announce(&mut self, list: &InstanceList) {
         if self.stopping.is_set() {
             self.own.state = InstanceState::Leaving;
@@ -115,7 +117,7 @@
     }
 }
 
-impl Seen {
+impl ListHistory {
     fn membership(&mut self, list: &InstanceList, own_name: &str) -> Membership {
         let siblings: Vec<Sibling> = list
             .instances
@@ -123,17 +125,17 @@
             .filter(|listed| listed.name != own_name)
             .filter_map(sibling)
             .collect();
-        self.note_ended(&siblings);
+        self.record_ended(&siblings);
         Membership {
             siblings,
-            ended: self.ended.clone(),
+            ended: self.ended_incarnations.clone(),
             leaving_upstreams: leaving_upstreams(list),
         }
     }
 
-    fn note_ended(&mut self, siblings: &[Sibling]) {
+    fn record_ended(&mut self, siblings: &[Sibling]) {
         let mut ended = Vec::new();
-        for (name, last) in &mut self.last {
+        for (name, last) in &mut self.last_seen {
             match siblings.iter().find(|sibling| sibling.name == *name) {
                 Some(sibling) => {
                     last.absent_lists = 0;
@@ -145,28 +147,33 @@
                 }
                 None => {
                     last.absent_lists += 1;
-                    if last.absent_lists == ABSENT_LISTS {
+                    if last.absent_lists == ENDED_AFTER_ABSENT_LISTS {
                         ended.push(last.incarnation);
                     }
                 }
             }
         }
-        self.last.retain(|_, last| last.absent_lists < ABSENT_LISTS);
+        self.last_seen
+            .retain(|_, last| last.absent_lists < ENDED_AFTER_ABSENT_LISTS);
         for sibling in siblings {
             if let Some(incarnation) = sibling.incarnation {
-                self.last
+                self.last_seen
                     .entry(Arc::clone(&sibling.name))
                     .or_insert(LastSeen {
                         incarnation,
                         absent_lists: 0,
                     });
                 ended.retain(|ended| *ended != incarnation);
-                self.ended.retain(|ended| *ended != incarnation);
+                self.ended_incarnations
+                    .retain(|ended| *ended != incarnation);
             }
         }
-        self.ended.extend(ended);
-        let excess = self.ended.len().saturating_sub(MAX_ENDED);
-        self.ended.drain(..excess);
+        self.ended_incarnations.extend(ended);
+        let excess = self
+            .ended_incarnations
+            .len()
+            .saturating_sub(MAX_ENDED_INCARNATIONS);
+        self.ended_incarnations.drain(..excess);
     }
 }
 
--- a/entry/src/job_address.rs
+++ b/entry/src/job_address.rs
@@ -16,7 +16,7 @@
 const MAX_WAIT_MS: u64 = 60_000;
 
 /// The address in `/v1/sessions/{session}/jobs/{number}`.
-pub(crate) fn numbered(tokens: &SessionTokens, conn: &Conn) -> Result<JobAddress, Refusal> {
+pub(crate) fn numbered_address(tokens: &SessionTokens, conn: &Conn) -> Result<JobAddress, Refusal> {
     let token = conn.param("session").unwrap_or_default();
     let session = tokens
         .verify(token)
@@ -28,7 +28,7 @@
 }
 
 /// The key in the `Idempotency-Key` header; the team is still to be filled in.
-pub(crate) fn key_in_header(conn: &Conn) -> Result<JobAddress, Refusal> {
+pub(crate) fn header_key_address(conn: &Conn) -> Result<JobAddress, Refusal> {
     let key = conn.request_headers().get_str("idempotency-key");
     let key = checked_key("Idempotency-Key", key.map(str::to_owned))?;
     Ok(JobAddress::Key {
@@ -38,7 +38,7 @@
 }
 
 /// The address in `/v1/jobs/{key}?team={team}`.
-pub(crate) fn key_in_path(conn: &Conn) -> Result<JobAddress, Refusal> {
+pub(crate) fn path_key_address(conn: &Conn) -> Result<JobAddress, Refusal> {
     let key = checked_key("key", conn.param("key").and_then(decode_segment))?;
     let team = parameter(conn, "team").and_then(decode_segment);
     let team = team.filter(|team| (1..=MAX_TEAM_BYTES).contains(&team.len()));
--- a/entry/src/job_handlers.rs
+++ b/entry/src/job_handlers.rs
@@ -1,4 +1,4 @@
-//! Submits, looks up and cancels jobs.
+//! The handlers that submit, look up and cancel jobs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::answer::outcome_name;
 use crate::caller_context::CallerContext;
 use crate::driver_handle::OpenRequest;
-use crate::job_address::key_in_header;
-use crate::job_address::key_in_path;
-use crate::job_address::numbered;
+use crate::job_address::header_key_address;
+use crate::job_address::numbered_address;
+use crate::job_address::path_key_address;
 use crate::job_address::wait_ms;
 use crate::problem::Refusal;
 use crate::reply::json_reply;
@@ -31,13 +31,13 @@
 
 /// `PUT /v1/sessions/{session}/jobs/{number}`
 pub(crate) async fn submit_numbered(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = numbered(&context.tokens, &conn);
+    let address = numbered_address(&context.tokens, &conn);
     submit(context, conn, address, None).await
 }
 
 /// `POST /v1/jobs`
 pub(crate) async fn submit_keyed(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = key_in_header(&conn);
+    let address = header_key_address(&conn);
     submit(context, conn, address, None).await
 }
 
@@ -48,25 +48,25 @@
 
 /// `GET /v1/sessions/{session}/jobs/{number}`
 pub(crate) async fn look_up_numbered(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = numbered(&context.tokens, &conn);
+    let address = numbered_address(&context.tokens, &conn);
     look_up(context, conn, address).await
 }
 
 /// `GET /v1/jobs/{key}`
 pub(crate) async fn look_up_keyed(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = key_in_path(&conn);
+    let address = path_key_address(&conn);
     look_up(context, conn, address).await
 }
 
 /// `DELETE /v1/sessions/{session}/jobs/{number}`
 pub(crate) async fn cancel_numbered(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = numbered(&context.tokens, &conn);
+    let address = numbered_address(&context.tokens, &conn);
     cancel(context, conn, address).await
 }
 
 /// `DELETE /v1/jobs/{key}`
 pub(crate) async fn cancel_keyed(context: Arc<CallerContext>, conn: Conn) -> Conn {
-    let address = key_in_path(&conn);
+    let address = path_key_address(&conn);
     cancel(context, conn, address).await
 }
 
@@ -81,7 +81,7 @@
     let body = read_body(&mut conn, &context.limits).await;
     let parsed = body.and_then(|body| {
         let submission = parse_submission(&body, max_tasks, span.traceparent());
-        both(address, submission)
+        combine(address, submission)
     });
     let (mut address, submission) = match parsed {
         Ok(parsed) => parsed,
@@ -91,7 +91,7 @@
         *team = Arc::clone(&submission.team);
     }
     let submission = Arc::new(submission);
-    run(context, conn, span, |request| Event::Submitted {
+    dispatch(context, conn, span, |request| Event::Submitted {
         request,
         address,
         submission,
@@ -99,8 +99,8 @@
     .await
 }
 
-/// Both values, or every fault of both.
-fn both<A, B>(first: Result<A, Refusal>, second: Result<B, Refusal>) -> Result<(A, B), Refusal> {
+/// Returns both values, or the errors of both.
+fn combine<A, B>(first: Result<A, Refusal>, second: Result<B, Refusal>) -> Result<(A, B), Refusal> {
     match (first, second) {
         (Ok(first), Ok(second)) => Ok((first, second)),
         (Err(Refusal::Invalid(mut errors)), Err(Refusal::Invalid(more))) => {
@@ -119,7 +119,7 @@
     let span = start_span(&context, &conn, "cancel");
     match address {
         Ok(address) => {
-            run(context, conn, span, |request| Event::Cancelled {
+            dispatch(context, conn, span, |request| Event::Cancelled {
                 request,
                 address,
             })
@@ -129,7 +129,7 @@
     }
 }
 
-/// The answer to a look-up while the job is not over.
+/// The body of the answer to a look-up while the job is still running.
 #[message]
 struct StillRunning {
     outcome: String,
@@ -141,7 +141,7 @@
     address: Result<JobAddress, Refusal>,
 ) -> Conn {
     let span = start_span(&context, &conn, "look_up");
-    let (address, wait_ms) = match both(address, wait_ms(&conn)) {
+    let (address, wait_ms) = match combine(address, wait_ms(&conn)) {
         Ok(parsed) => parsed,
         Err(refusal) => return refusal.reply(conn),
     };
@@ -154,7 +154,7 @@
         None
     });
     match answer.await {
-        Some(answer) => finish(&context, conn, span, &answer),
+        Some(answer) => reply(&context, conn, span, &answer),
         None => json_reply(
             conn,
             202,
@@ -165,8 +165,8 @@
     }
 }
 
-/// Hands the request to the dispatcher and waits for its answer, or for the caller to go away.
-async fn run(
+/// Hands the request to the dispatcher and waits until it is answered or the caller disconnects.
+async fn dispatch(
     context: Arc<CallerContext>,
     mut conn: Conn,
     span: HopSpan,
@@ -175,13 +175,13 @@
     let Ok(mut open) = context.driver.request(event) else {
         return Refusal::Busy.reply(conn);
     };
-    match wait(&mut conn, &mut open).await {
-        Some(answer) => finish(&context, conn, span, &answer),
+    match wait_for_answer(&mut conn, &mut open).await {
+        Some(answer) => reply(&context, conn, span, &answer),
         None => Refusal::Busy.reply(conn),
     }
 }
 
-async fn wait(conn: &mut Conn, open: &mut OpenRequest) -> Option<Arc<JobAnswer>> {
+async fn wait_for_answer(conn: &mut Conn, open: &mut OpenRequest) -> Option<Arc<JobAnswer>> {
     match conn.http_version() {
         Version::Http1_0 | Version::Http1_1 => {
             conn.cancel_on_disconnect(open.answer()).await.flatten()
@@ -190,7 +190,7 @@
     }
 }
 
-fn finish(context: &CallerContext, conn: Conn, mut span: HopSpan, answer: &JobAnswer) -> Conn {
+fn reply(context: &CallerContext, conn: Conn, mut span: HopSpan, answer: &JobAnswer) -> Conn {
     let outcome = outcome_name(answer);
     span.set("outcome", outcome);
     let seconds = conn.start_time().elapsed().as_secs_f64();
@@ -198,7 +198,7 @@
     answer_reply(conn, answer)
 }
 
-/// Starts the span of the caller's hop; a malformed `traceparent` counts as none.
+/// Starts the span of the caller's hop; a malformed `traceparent` is ignored.
 fn start_span(context: &CallerContext, conn: &Conn, operation: &str) -> HopSpan {
     let given = conn.request_headers().get_str("traceparent");
     let parent = given.filter(|text| parse_traceparent(text).is_some());
--- a/entry/src/process.rs
+++ b/entry/src/process.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of one entry process together, and takes them down in order.
+//! Starts the parts of one entry process and shuts them down in order.
 
 use std::io;
 use std::path::Path;
@@ -42,7 +42,7 @@
 use crate::executor;
 use crate::hop_tracker::HopTracker;
 use crate::instance_watch::InstanceWatch;
-use crate::instance_watch::Seen;
+use crate::instance_watch::ListHistory;
 use crate::listener;
 use crate::listener::ListenError;
 use crate::logging;
@@ -70,35 +70,36 @@
     /// A listener cannot be opened.
     #[display("{_0}")]
     Listen(ListenError),
-    /// Other entry instances cannot be listened for.
+    /// The listener for peer messages cannot be started.
     #[display("{_0}")]
     Peers(PeerStartError),
-    /// The document file cannot be used.
+    /// The document file cannot be read or is not valid.
     #[display("{_0}")]
     Document(DocumentFileError),
-    /// The spans cannot be written.
+    /// The output of spans cannot be opened.
     #[display("{_0}")]
     Spans(SpanExportError),
     /// The metrics cannot be registered.
     #[display("register metrics: {_0}")]
     Metrics(prometheus::Error),
-    /// Signals cannot be listened for.
+    /// The signal handlers cannot be installed.
     #[display("listen for signals: {_0}")]
     Signals(io::Error),
 }
 
-/// How long after the last answer callers may take to read theirs.
-const LAST_READS: Duration = Duration::from_secs(30);
+/// Time that callers have to read their answers once the dispatcher is idle.
+const ANSWER_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-const IDLE_POLL: Duration = Duration::from_millis(20);
+/// How often a stopping process checks whether anything is still open.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs an entry process until it was asked to stop and nothing is open any more.
+/// Runs an entry process until it is asked to stop and nothing is open any more.
 ///
-/// `settings_file` is where the settings came from; it is read again when it changes.
+/// `settings_file` is the file that the settings were read from; it is read again when it changes.
 ///
 /// # Errors
 ///
-/// What kept the process from starting.
+/// [`ProcessError`] when a part of the process cannot start.
 pub fn run(settings: Settings, settings_file: &Path) -> Result<(), ProcessError> {
     let _log_writer = logging::start(&settings.log_filter);
     executor::start(settings.executor_threads);
@@ -117,7 +118,7 @@
     })
 }
 
-/// The parts of a running process that are taken down in order.
+/// The parts of a running process that are shut down in order.
 struct Process {
     settings: Settings,
     driver: DriverHandle,
@@ -127,7 +128,7 @@
     operators: ServerHandle,
 }
 
-/// What most parts of the process share.
+/// Handles that most parts of the process share.
 #[derive(Clone)]
 struct Shared {
     identity: PeerIdentity,
@@ -147,7 +148,7 @@
         let (driver, commands) = DriverHandle::new(settings.limits.waiting_events);
         let (shared, incoming) = Shared::new(&settings, driver)?;
         start_driver(&settings, &shared, commands);
-        executor::spawn(take_messages(incoming, shared.driver.clone()));
+        executor::spawn(receive_messages(incoming, shared.driver.clone()));
         start_watches(&settings, &shared).await?;
         let limits = &settings.limits;
         let operators = operator_api(&operator_context(&settings, &shared));
@@ -180,7 +181,7 @@
         Timer::after(Duration::from_millis(self.settings.stop_notice_ms)).await;
         self.wait_until_idle().await;
         or(self.callers.shut_down(), async {
-            Timer::after(LAST_READS).await;
+            Timer::after(ANSWER_READ_TIMEOUT).await;
         })
         .await;
         self.wait_until_idle().await;
@@ -194,7 +195,7 @@
             if status.is_idle {
                 return;
             }
-            Timer::after(IDLE_POLL).await;
+            Timer::after(IDLE_POLL_INTERVAL).await;
         }
     }
 }
@@ -224,8 +225,8 @@
     }
 }
 
-/// Hands over what siblings send, as long as the transport lives.
-async fn take_messages(incoming: Incoming, driver: DriverHandle) {
+/// Hands the messages of siblings to the driver until the transport is dropped.
+async fn receive_messages(incoming: Incoming, driver: DriverHandle) {
     while let Ok(envelope) = incoming.recv().await {
         let event = Event::PeerMessage {
             sender: envelope.sender,
@@ -272,12 +273,12 @@
         }
     }
     let instance_watch = InstanceWatch {
-        own: listed(settings, &shared.identity),
+        own: listed_instance(settings, &shared.identity),
         platform: Arc::clone(&shared.platform),
         driver: shared.driver.clone(),
         peers: shared.peers.clone(),
         stopping: shared.stopping.clone(),
-        seen: Seen::default(),
+        history: ListHistory::default(),
     };
     let period = Duration::from_millis(settings.platform.instances_poll_ms);
     executor::spawn(instance_watch.run(timer, period));
@@ -330,7 +331,7 @@
     }
 }
 
-fn listed(settings: &Settings, identity: &PeerIdentity) -> ListedInstance {
+fn listed_instance(settings: &Settings, identity: &PeerIdentity) -> ListedInstance {
     ListedInstance {
         name: settings.instance.clone(),
         role: InstanceRole::Entry,
--- a/entry/src/run_api.rs
+++ b/entry/src/run_api.rs
@@ -1,4 +1,4 @@
-//! The callers' interface to leased runs over HTTP, and the page that says whether to call.
+//! The callers' HTTP interface to leased runs, and the readiness and metrics pages.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -17,7 +17,7 @@
 use trillium::Method;
 
 use crate::bind::bind;
-use crate::guarded_transport::note_request;
+use crate::guarded_transport::mark_request_received;
 use crate::problem::Refusal;
 use crate::reply::body_reply;
 use crate::request_body::read_body;
@@ -28,12 +28,12 @@
 use crate::stopping::Stopping;
 
 const JSON: &str = "application/json";
-const TEXT: &str = "text/plain; version=0.0.4";
+const METRICS_TEXT: &str = "text/plain; version=0.0.4";
 
-/// How long the dispatcher may take to tell its state.
+/// How long the dispatcher may take to report its status.
 const STATUS_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(1);
 
-/// Shared by every handler.
+/// The state that every handler shares.
 pub(crate) struct RunContext {
     pub(crate) handle: RunHandle,
     pub(crate) metrics: RunMetrics,
@@ -41,24 +41,24 @@
     pub(crate) stopping: Stopping,
 }
 
-/// The handler of the callers' listener.
+/// Returns the handler of the callers' listener.
 pub(crate) fn run_api(context: &Arc<RunContext>) -> impl Handler + use<> {
-    bind(context, take)
+    bind(context, handle_request)
 }
 
-/// The handler of the listener that the platform asks for readiness.
+/// Returns the handler of the listener that the platform asks for readiness.
 pub(crate) fn ready_api(context: &Arc<RunContext>) -> impl Handler + use<> {
     bind(context, ready)
 }
 
-/// The handler of the operators' listener.
+/// Returns the handler of the operators' listener.
 pub(crate) fn run_metrics_api(context: &Arc<RunContext>) -> impl Handler + use<> {
     bind(context, metrics)
 }
 
-async fn take(context: Arc<RunContext>, mut conn: Conn) -> Conn {
-    let came_at = Instant::now();
-    note_request(&conn);
+async fn handle_request(context: Arc<RunContext>, mut conn: Conn) -> Conn {
+    let received_at = Instant::now();
+    mark_request_received(&conn);
     let kind = match conn.method() {
         Method::Get => RequestKind::LookUp,
         Method::Delete => RequestKind::Cancel,
@@ -68,11 +68,11 @@
         },
         _ => return Refusal::MethodNotAllowed.reply(conn),
     };
-    // A process that was frozen reads requests whose callers left meanwhile and may have sent their
-    // jobs elsewhere.
+    // After a freeze the process reads requests whose callers have left meanwhile and may have sent
+    // their jobs to another instance.
     if conn.is_disconnected().await {
         tracing::info!(path = conn.path(), "request ignored: its caller has left");
-        context.metrics.count_left(came_at.elapsed());
+        context.metrics.count_caller_left(received_at.elapsed());
         return Refusal::Busy.reply(conn);
     }
     let headers = conn.request_headers();
@@ -88,10 +88,10 @@
     });
     let answer = conn.cancel_on_disconnect(open.answer()).await.flatten();
     let Some(answer) = answer else {
-        context.metrics.count_left(came_at.elapsed());
+        context.metrics.count_caller_left(received_at.elapsed());
         return Refusal::Busy.reply(conn);
     };
-    context.metrics.count_answer(&answer, came_at.elapsed());
+    context.metrics.count_answer(&answer, received_at.elapsed());
     reply(&context, conn, &answer)
 }
 
@@ -100,8 +100,8 @@
     match decode_job(&body) {
         Ok(job) => Ok(RequestKind::Submit(Arc::new(job))),
         Err(error) => {
-            tracing::warn!(path = conn.path(), %error, "request refused: its body is no job");
-            Err(Refusal::field("body", "is no job"))
+            tracing::warn!(path = conn.path(), %error, "request refused: its body is not a valid job");
+            Err(Refusal::field("body", "is not a valid job"))
         }
     }
 }
@@ -139,10 +139,10 @@
     }
     let status = context.status().await.unwrap_or_default();
     match context.metrics.scrape(&status.dispatcher) {
-        Ok(text) => body_reply(conn, 200, TEXT, text),
+        Ok(text) => body_reply(conn, 200, METRICS_TEXT, text),
         Err(error) => {
             tracing::warn!(%error, "metrics not scraped");
-            body_reply(conn, 500, TEXT, error.to_string().into_bytes())
+            body_reply(conn, 500, METRICS_TEXT, error.to_string().into_bytes())
         }
     }
 }
--- a/entry/src/run_driver.rs
+++ b/entry/src/run_driver.rs
@@ -1,4 +1,4 @@
-//! The one task that owns the dispatcher of leased runs: events in, actions out.
+//! The task that owns the dispatcher of leased runs: it feeds in events and carries out the actions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -30,7 +30,7 @@
 use crate::run_metrics::RunMetrics;
 use crate::timer::TimerService;
 
-/// What the driver is asked to do.
+/// A command to the driver.
 pub(crate) enum RunCommand {
     /// Hand an event to the dispatcher.
     Event(RunEvent),
@@ -38,42 +38,43 @@
     Request {
         /// The request.
         request: RequestId,
-        /// The event that names the request.
+        /// The event that carries the request.
         event: RunEvent,
-        /// Where its answer goes.
+        /// Receives the answer.
         reply: Sender<RunAnswer>,
     },
     /// Read the dispatcher's status.
     Status(Sender<RunDriverStatus>),
 }
 
-/// A reading of the dispatcher's state.
+/// A snapshot of the dispatcher's state.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RunDriverStatus {
-    /// The dispatcher's own reading.
+    /// The dispatcher's own status.
     pub(crate) dispatcher: RunStatus,
-    /// Whether nothing is open: no request, no job, no task held for another.
+    /// Whether no request, no job and no task held for another instance is open.
     pub(crate) is_idle: bool,
 }
 
-/// What carries out the dispatcher's actions.
+/// The clients that carry out the dispatcher's actions.
 pub(crate) struct RunEffects {
     pub(crate) orders: Arc<OrderClient>,
     pub(crate) store: Arc<StoreClient>,
     pub(crate) peers: Arc<dyn PeerTransport>,
     pub(crate) metrics: RunMetrics,
     pub(crate) handle: RunHandle,
-    /// Asks the roster's session to write the own row again.
+    /// Asks the roster session to write this instance's row again.
     pub(crate) register_again: Sender<()>,
 }
 
+/// Why the driver woke up.
 enum Wakeup {
     Command(RunCommand),
     Timer,
     Closed,
 }
 
-/// Owns the dispatcher and the requests that wait for their answers.
+/// Owns the dispatcher and the requests that wait for their answers; runs as a single task.
 pub(crate) struct RunDriver {
     dispatcher: RunDispatcher,
     clock: Clock,
@@ -104,12 +105,12 @@
         }
     }
 
-    /// Runs until every sender of commands is gone.
+    /// Runs until every sender of commands has been dropped.
     pub(crate) async fn run(mut self) {
         loop {
             match self.next_wakeup().await {
-                Wakeup::Command(command) => self.take(command),
-                Wakeup::Timer => self.handle(RunEvent::Tick),
+                Wakeup::Command(command) => self.handle_command(command),
+                Wakeup::Timer => self.handle_event(RunEvent::Tick),
                 Wakeup::Closed => return,
             }
         }
@@ -139,13 +140,13 @@
         or(command, timer).await
     }
 
-    fn take(&mut self, command: RunCommand) {
+    fn handle_command(&mut self, command: RunCommand) {
         match command {
             RunCommand::Event(event) => {
                 if let RunEvent::RequestDropped { request } = &event {
                     self.replies.swap_remove(request);
                 }
-                self.handle(event);
+                self.handle_event(event);
             }
             RunCommand::Request {
                 request,
@@ -153,17 +154,17 @@
                 reply,
             } => {
                 self.replies.insert(request, reply);
-                self.handle(event);
+                self.handle_event(event);
             }
             RunCommand::Status(reply) => {
-                // Whoever asked may have gone.
+                // Fails when the receiver has been dropped.
                 reply.try_send(self.status()).ok();
             }
         }
     }
 
-    /// Hands an event to the dispatcher, and then those that its actions bring about at once.
-    fn handle(&mut self, event: RunEvent) {
+    /// Hands an event to the dispatcher, then the events that its actions caused directly.
+    fn handle_event(&mut self, event: RunEvent) {
         self.follow_ups.push_back(event);
         while let Some(event) = self.follow_ups.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -180,11 +181,11 @@
         match action {
             RunAction::Answer { request, answer } => {
                 if let Some(reply) = self.replies.swap_remove(&request) {
-                    // The caller may have gone.
+                    // Fails when the caller has left.
                     reply.try_send(answer).ok();
                 }
             }
-            RunAction::Order { order, order_to } => self.give_order(order, order_to),
+            RunAction::Order { order, order_to } => self.send_order(order, order_to),
             RunAction::SendPeer { instance, message } => self.send_peer(instance, message),
             RunAction::SetPeers(peers) => {
                 let peers: Vec<Sibling> = peers.into_iter().map(sibling).collect();
@@ -194,20 +195,20 @@
                 self.remove_member(name, row_version);
             }
             RunAction::RegisterAgain => {
-                // A request that waits already says the same.
+                // Fails when a request is already queued, which has the same effect.
                 self.effects.register_again.try_send(()).ok();
             }
         }
     }
 
-    fn give_order(&self, order: OrderId, order_to: AddressedOrder) {
+    fn send_order(&self, order: OrderId, order_to: AddressedOrder) {
         let orders = Arc::clone(&self.effects.orders);
         let handle = self.effects.handle.clone();
         let metrics = self.effects.metrics.clone();
         executor::spawn(async move {
-            let given_at = std::time::Instant::now();
+            let sent_at = std::time::Instant::now();
             let answer = orders.give(&order_to).await;
-            metrics.count_order(&order_to.order, &answer, given_at.elapsed());
+            metrics.count_order(&order_to.order, &answer, sent_at.elapsed());
             handle.send(RunEvent::OrderAnswered { order, answer });
         });
     }
@@ -228,8 +229,12 @@
         let store = Arc::clone(&self.effects.store);
         executor::spawn(async move {
             match RosterSession::remove(&store, &name, row_version).await {
-                Ok(outcome) => tracing::info!(instance = %name, ?outcome, "removal of an instance"),
-                Err(error) => tracing::warn!(instance = %name, %error, "removal of an instance"),
+                Ok(outcome) => {
+                    tracing::info!(instance = %name, ?outcome, "removal of an instance from the roster")
+                }
+                Err(error) => {
+                    tracing::warn!(instance = %name, %error, "instance not removed from the roster")
+                }
             }
         });
     }
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -108,7 +108,7 @@
     }
 
     /// Counts a caller who left before the answer.
-    pub(crate) fn count_left(&self, took: Duration) {
+    pub(crate) fn count_caller_left(&self, took: Duration) {
         self.count_outcome("caller_left", took);
     }
 
--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a process that dispatches leased runs together, and takes them down in order.
+//! Starts the parts of a process that dispatches leased runs and shuts them down in order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -46,27 +46,27 @@
 use crate::settings::Settings;
 use crate::stopping::Stopping;
 
-/// How long after a failed call for the peer key the next one follows.
-const KEY_RETRY: Duration = Duration::from_millis(200);
+/// Delay before a failed call to the store is retried.
+const STORE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// How often a stopping process looks whether anything is still open.
-const IDLE_POLL: Duration = Duration::from_millis(20);
+/// How often a stopping process checks whether anything is still open.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a stopping process goes on taking connections: the platform looks twice, a second apart,
-/// before it sends callers elsewhere.
-const TURNING_AWAY: Duration = Duration::from_millis(2_300);
+/// How long a stopping process still accepts connections: the platform checks readiness twice, one
+/// second apart, before it sends callers to other instances.
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(2_300);
 
 /// How long nothing must be open before a stopping process ends: callers on open connections may
-/// still send, and a balancer needs two looks a second apart to notice.
-const QUIET: Duration = Duration::from_millis(400);
+/// still send requests, and a load balancer notices only after two checks, one second apart.
+const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// How much of its grace a stopping process leaves for taking its parts down.
-const TAKING_DOWN: Duration = Duration::from_millis(800);
+/// Part of the stop grace that is reserved for shutting down the parts of the process.
+const SHUTDOWN_RESERVE: Duration = Duration::from_millis(800);
 
-/// How long the last calls to the store of a stopping process may take.
-const LAST_CALLS: Duration = Duration::from_millis(300);
+/// How long a stopping process waits until its row in the roster is deleted.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Runs a process until it was asked to stop and nothing is open any more.
+/// Runs a process until it is asked to stop and nothing is open any more, or its stop grace is over.
 pub(crate) async fn run_leased(
     settings: Settings,
     leased: LeasedRuns,
@@ -77,13 +77,14 @@
     Ok(())
 }
 
+/// The parts of a running process that are shut down in order.
 struct RunProcess {
     handle: RunHandle,
     stopping: Stopping,
     callers: ServerHandle,
     grace: Duration,
     leave: async_channel::Sender<()>,
-    left: Receiver<()>,
+    deregistered: Receiver<()>,
 }
 
 impl RunProcess {
@@ -129,7 +130,7 @@
             key: key.to_vec(),
         })?;
         peers.start(transport);
-        executor::spawn(take_messages(incoming, handle.clone()));
+        executor::spawn(receive_messages(incoming, handle.clone()));
         executor::spawn(watch_intended(Arc::clone(&store), Arc::clone(&sink)));
         executor::spawn(watch_upstreams(Arc::clone(&store), Arc::clone(&sink)));
         let session = RosterSession::new(
@@ -140,8 +141,9 @@
             settings.peer_address,
         );
         let (leave, leaving) = async_channel::bounded(1);
-        let (left_sender, left) = async_channel::bounded(1);
-        let registered = keep_registered(session, sink, registrations, leaving, left_sender);
+        let (deregistered_sender, deregistered) = async_channel::bounded(1);
+        let registered =
+            keep_registered(session, sink, registrations, leaving, deregistered_sender);
         executor::spawn(registered);
         Ok(RunProcess {
             handle,
@@ -149,36 +151,37 @@
             callers,
             grace: Duration::from_millis(leased.stop_grace_ms),
             leave,
-            left,
+            deregistered,
         })
     }
 
     async fn serve(self, stop: Receiver<()>) {
         stop.recv().await.ok();
-        let asked_at = Instant::now();
+        let stop_requested_at = Instant::now();
         tracing::info!("stopping");
         self.stopping.set();
-        let grace = self.grace.saturating_sub(TAKING_DOWN);
+        let grace = self.grace.saturating_sub(SHUTDOWN_RESERVE);
         self.handle.send(RunEvent::StopRequested { grace });
         self.leave.send(()).await.ok();
-        // Callers on idle connections come again elsewhere, instead of being refused here later.
+        // Closes idle connections before the process ends, so that their callers connect to another
+        // instance instead of being refused here later.
         let callers = self.callers.clone();
         executor::spawn(async move {
-            Timer::after(TURNING_AWAY).await;
+            Timer::after(LISTENER_CLOSE_DELAY).await;
             callers.shut_down().await;
         });
         let mut quiet_since = Instant::now();
-        while asked_at.elapsed() < grace && quiet_since.elapsed() < QUIET {
+        while stop_requested_at.elapsed() < grace && quiet_since.elapsed() < QUIET_PERIOD {
             let status = self.handle.status().await;
             if status.is_none_or(|status| !status.is_idle) {
                 quiet_since = Instant::now();
             }
-            Timer::after(IDLE_POLL).await;
+            Timer::after(IDLE_POLL_INTERVAL).await;
         }
-        // The session takes its row away, and says so.
+        // Makes the roster session delete its row and report on `deregistered`.
         self.leave.close();
-        or(async { self.left.recv().await.ok() }, async {
-            Timer::after(LAST_CALLS).await;
+        or(async { self.deregistered.recv().await.ok() }, async {
+            Timer::after(DEREGISTER_TIMEOUT).await;
             None
         })
         .await;
@@ -187,7 +190,7 @@
     }
 }
 
-/// Opens every listener and serves on it; gives the callers' one.
+/// Opens and serves every listener; returns the handle of the one for callers.
 fn listen(
     settings: &Settings,
     leased: &LeasedRuns,
@@ -227,7 +230,7 @@
     Arc::new(move |event| handle.send(event))
 }
 
-/// The key of the settings, else the one that the site keeps in the store.
+/// Returns the peer key of the settings, else the one kept in the store, which is retried until read.
 async fn shared_key(store: &StoreClient, settings: &Settings) -> Bytes {
     if !settings.peer_key.expose().is_empty() {
         return Bytes::copy_from_slice(settings.peer_key.expose());
@@ -236,15 +239,15 @@
         match peer_key(store).await {
             Ok(key) => return key,
             Err(error) => {
-                tracing::warn!(%error, "key of the instances not read");
-                Timer::after(KEY_RETRY).await;
+                tracing::warn!(%error, "peer key not read from the store");
+                Timer::after(STORE_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Hands over what other instances send, as long as the transport lives.
-async fn take_messages(incoming: Incoming, handle: RunHandle) {
+/// Hands the messages of other instances to the driver until the transport is dropped.
+async fn receive_messages(incoming: Incoming, handle: RunHandle) {
     while let Ok(envelope) = incoming.recv().await {
         if let PeerMessage::Run(message) = envelope.message {
             handle.send(RunEvent::PeerMessage {
@@ -255,13 +258,14 @@
     }
 }
 
-/// Keeps the own row beating until the process leaves, and then takes it away.
+/// Sends heartbeats for this instance's row in the roster until the process leaves, announces the
+/// leave, and deletes the row once `leaving` is closed.
 async fn keep_registered(
     mut session: RosterSession,
     sink: EventSink,
     registrations: Receiver<()>,
     leaving: Receiver<()>,
-    left: async_channel::Sender<()>,
+    deregistered: async_channel::Sender<()>,
 ) {
     loop {
         if registrations.try_recv().is_ok() {
@@ -282,24 +286,25 @@
         }
     }
     while let Err(error) = session.leave().await {
-        tracing::warn!(%error, "leaving not announced");
-        Timer::after(KEY_RETRY).await;
+        tracing::warn!(%error, "leave not announced in the roster");
+        Timer::after(STORE_RETRY_DELAY).await;
     }
-    // What is open here may still need owners that register meanwhile; closed once nothing is.
+    // Open jobs may still need owners that register meanwhile, so the roster is followed until
+    // `leaving` is closed, once nothing is open.
     loop {
-        let is_over = or(
+        let is_closed = or(
             async {
                 session.step(&sink).await;
                 false
             },
             async { leaving.recv().await.is_err() },
         );
-        if is_over.await {
+        if is_closed.await {
             break;
         }
     }
     if let Err(error) = session.deregister().await {
-        tracing::warn!(%error, "own row not taken away");
+        tracing::warn!(%error, "row in the roster not deleted");
     }
-    left.send(()).await.ok();
+    deregistered.send(()).await.ok();
 }
