--- a/entry/src/answer.rs
+++ b/entry/src/answer.rs
@@ -1,4 +1,4 @@
-//! How the dispatcher's answers look over HTTP.
+//! Maps the dispatcher's answers to HTTP answers.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 
 use crate::problem::Problem;
 use crate::problem::ProblemOutcome;
-use crate::problem::whole_ms;
+use crate::problem::ceil_ms;
 use crate::reply::body_reply;
 
-/// Answers a caller with what became of the job.
+/// Answers a caller with the outcome of the job.
 pub(crate) fn answer_reply(conn: Conn, answer: &JobAnswer) -> Conn {
     match answer {
         JobAnswer::Complete { results } => {
@@ -34,7 +34,7 @@
     }
 }
 
-/// The name of an answer's outcome in metrics and spans.
+/// Returns the name of an answer's outcome in metrics and spans.
 pub(crate) fn outcome_name(answer: &JobAnswer) -> &'static str {
     match answer {
         JobAnswer::Complete { .. } => "complete",
@@ -43,7 +43,7 @@
     }
 }
 
-/// The body of a complete answer; results that are no JSON go as `{"base64": ...}`.
+/// Builds the body of a complete answer; results that are not JSON are sent as `{"base64": ...}`.
 fn complete_body(results: &[Bytes]) -> Vec<u8> {
     let results_bytes: usize = results.iter().map(|result| result.len() + 1).sum();
     let mut body = Vec::with_capacity(results_bytes + 64);
@@ -75,7 +75,7 @@
         outcome: ProblemOutcome::NotRun,
         reason: not_run_code(reason).to_owned(),
         task: None,
-        retry_after_ms: retry_after.map(whole_ms),
+        retry_after_ms: retry_after.map(ceil_ms),
         errors: Vec::new(),
     }
 }
@@ -87,7 +87,7 @@
         outcome: ProblemOutcome::Failed,
         reason: fail_code(reason).to_owned(),
         task,
-        retry_after_ms: retry_after.map(whole_ms),
+        retry_after_ms: retry_after.map(ceil_ms),
         errors: Vec::new(),
     }
 }
--- a/entry/src/job_address.rs
+++ b/entry/src/job_address.rs
@@ -1,4 +1,4 @@
-//! Reads jobs' addresses from requests.
+//! Reads the addresses of jobs from requests.
 
 use std::sync::Arc;
 
@@ -10,12 +10,16 @@
 
 use crate::problem::Refusal;
 
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
+/// Maximum length of the name of a team, in bytes.
 const MAX_TEAM_BYTES: usize = 200;
+/// How long a look-up waits without the parameter `wait_ms`, in milliseconds.
 const DEFAULT_WAIT_MS: u64 = 1_000;
+/// Maximum value of the parameter `wait_ms`, in milliseconds.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// The address in `/v1/sessions/{session}/jobs/{number}`.
+/// Reads the address from `/v1/sessions/{session}/jobs/{number}`.
 pub(crate) fn numbered_address(tokens: &SessionTokens, conn: &Conn) -> Result<JobAddress, Refusal> {
     let token = conn.param("session").unwrap_or_default();
     let session = tokens
@@ -27,7 +31,7 @@
     Ok(JobAddress::Session { session, number })
 }
 
-/// The key in the `Idempotency-Key` header; the team is still to be filled in.
+/// Reads the address from the `Idempotency-Key` header; its team is empty until the body is parsed.
 pub(crate) fn header_key_address(conn: &Conn) -> Result<JobAddress, Refusal> {
     let key = conn.request_headers().get_str("idempotency-key");
     let key = checked_key("Idempotency-Key", key.map(str::to_owned))?;
@@ -37,19 +41,19 @@
     })
 }
 
-/// The address in `/v1/jobs/{key}?team={team}`.
+/// Reads the address from `/v1/jobs/{key}?team={team}`.
 pub(crate) fn path_key_address(conn: &Conn) -> Result<JobAddress, Refusal> {
     let key = checked_key("key", conn.param("key").and_then(decode_segment))?;
     let team = parameter(conn, "team").and_then(decode_segment);
     let team = team.filter(|team| (1..=MAX_TEAM_BYTES).contains(&team.len()));
-    let team = team.ok_or_else(|| Refusal::field("team", "must be a text of 1 to 200 bytes"))?;
+    let team = team.ok_or_else(|| Refusal::field("team", "must be a string of 1 to 200 bytes"))?;
     Ok(JobAddress::Key {
         team: Arc::from(team),
         key,
     })
 }
 
-/// How long a look-up waits for an answer, from the parameter `wait_ms`.
+/// Reads how long a look-up waits for an answer from the parameter `wait_ms`, in milliseconds.
 pub(crate) fn wait_ms(conn: &Conn) -> Result<u64, Refusal> {
     let Some(text) = parameter(conn, "wait_ms") else {
         return Ok(DEFAULT_WAIT_MS);
--- a/entry/src/problem.rs
+++ b/entry/src/problem.rs
@@ -1,4 +1,4 @@
-//! Answers of kind `application/problem+json`.
+//! Error answers to callers in the format `application/problem+json`.
 
 use std::time::Duration;
 
@@ -8,54 +8,54 @@
 
 use crate::reply::json_reply;
 
-/// Whether anything of the job may have run.
+/// Whether any task of the job may have run.
 #[message]
 #[derive(Copy, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ProblemOutcome {
-    /// Nothing ran under this request, and nothing will.
+    /// No task ran for this request, and none will.
     NotRun,
-    /// Something ran, or may have run.
+    /// A task ran, or may have run.
     Failed,
 }
 
-/// A fault of one field of a request.
+/// A problem with one field of a request.
 #[message]
 #[derive(Eq)]
 pub struct FieldError {
-    /// The JSON pointer of the field, or the name of a header or parameter.
+    /// The JSON pointer of the field in the body, or the name of a header or parameter.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, or what the value must be.
     pub reason: String,
 }
 
-/// The body of an answer that is not a complete result.
+/// The body of an answer without results.
 #[message]
 #[derive(Eq)]
 pub struct Problem {
-    /// A short text for people.
+    /// A short description for people.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// Whether anything ran.
+    /// Whether any task may have run.
     pub outcome: ProblemOutcome,
     /// The machine-readable reason.
     pub reason: String,
-    /// The first task that failed, counted from zero.
+    /// The index of the first task that failed, counted from zero.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub task: Option<u32>,
-    /// When another try has a chance, in milliseconds.
+    /// The delay after which a retry may succeed, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The faults of the request's fields.
+    /// The problems with the request's fields.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub errors: Vec<FieldError>,
 }
 
-/// Why a request was refused before the dispatcher saw it.
+/// Why a request was refused before it reached the dispatcher.
 #[value]
 pub(crate) enum Refusal {
-    /// Fields are missing, wrong or unknown.
+    /// Fields are missing, invalid or unknown.
     Invalid(Vec<FieldError>),
     /// The request body is longer than the limit.
     BodyTooLong {
@@ -67,20 +67,21 @@
         /// The limit in milliseconds.
         limit_ms: u64,
     },
-    /// The connection broke amid the request body.
+    /// The connection broke while the request body was read.
     BodyCut,
-    /// No resource has this path.
+    /// There is no resource at this path.
     NotFound,
-    /// The resource knows no such method.
+    /// The resource does not support this method.
     MethodNotAllowed,
-    /// Too many events wait for the dispatcher, or it has ended.
+    /// Too many events wait for the dispatcher, or it has ended, or the caller has left.
     Busy,
 }
 
-const RETRY_WHEN_BUSY: Duration = Duration::from_millis(200);
+/// The delay after which callers may retry a request that was refused as busy.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 impl Refusal {
-    /// A refusal for the fault of one field.
+    /// Creates a refusal for a problem with one field.
     pub(crate) fn field(field: &str, reason: impl Into<String>) -> Self {
         Refusal::Invalid(vec![FieldError {
             field: field.to_owned(),
@@ -88,13 +89,14 @@
         }])
     }
 
-    /// Answers with the refusal; a connection with an unread body on it is closed after it.
+    /// Answers with the refusal; a connection whose request body was not read to its end is closed
+    /// after the answer.
     pub(crate) fn reply(self, conn: Conn) -> Conn {
-        let leaves_body = matches!(
+        let has_unread_body = matches!(
             self,
             Refusal::BodyTooLong { .. } | Refusal::BodyTimeout { .. } | Refusal::BodyCut
         );
-        let conn = match leaves_body {
+        let conn = match has_unread_body {
             true => conn.with_response_header("connection", "close"),
             false => conn,
         };
@@ -114,16 +116,20 @@
                 "body_timeout",
                 format!("request body did not arrive within {limit_ms} ms"),
             ),
-            Refusal::BodyCut => (400, "body_cut", "request body broke off".to_owned()),
+            Refusal::BodyCut => (
+                400,
+                "body_cut",
+                "connection broke before the end of the request body".to_owned(),
+            ),
             Refusal::NotFound => (404, "not_found", "no such resource".to_owned()),
             Refusal::MethodNotAllowed => (
                 405,
                 "method_not_allowed",
-                "method is not known here".to_owned(),
+                "method is not supported by this resource".to_owned(),
             ),
-            Refusal::Busy => (503, "busy", "too many requests wait".to_owned()),
+            Refusal::Busy => (503, "busy", "too many requests are waiting".to_owned()),
         };
-        let retry_after = matches!(self, Refusal::Busy).then_some(RETRY_WHEN_BUSY);
+        let retry_after = matches!(self, Refusal::Busy).then_some(BUSY_RETRY_DELAY);
         let errors = match self {
             Refusal::Invalid(errors) => errors,
             _ => Vec::new(),
@@ -134,14 +140,14 @@
             outcome: ProblemOutcome::NotRun,
             reason: reason.to_owned(),
             task: None,
-            retry_after_ms: retry_after.map(whole_ms),
+            retry_after_ms: retry_after.map(ceil_ms),
             errors,
         }
     }
 }
 
 impl Problem {
-    /// Answers with this problem, and with `Retry-After` when there is such a time.
+    /// Answers with this problem, and with `Retry-After` when it has a retry delay.
     pub(crate) fn reply(&self, conn: Conn) -> Conn {
         let conn = match self.retry_after_ms {
             Some(retry_after_ms) => {
@@ -157,7 +163,7 @@
 
 const PROBLEM_JSON: &str = "application/problem+json";
 
-/// The milliseconds of a span, rounded up.
-pub(crate) fn whole_ms(span: Duration) -> u64 {
-    u64::try_from(span.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
+/// Converts a duration to milliseconds, rounded up.
+pub(crate) fn ceil_ms(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros().div_ceil(1_000)).unwrap_or(u64::MAX)
 }
--- a/entry/src/request_fields.rs
+++ b/entry/src/request_fields.rs
@@ -1,4 +1,4 @@
-//! Reads typed fields out of a request body and gathers every fault.
+//! Reads typed fields of a request body and collects every error.
 
 use std::fmt;
 use std::ops::RangeInclusive;
@@ -12,7 +12,7 @@
 
 use crate::problem::FieldError;
 
-/// The fields of one JSON object, unread, and the faults found so far.
+/// The unread fields of one JSON object, and the errors found so far.
 #[derive(Default)]
 pub(crate) struct RequestFields<'a> {
     prefix: String,
@@ -20,13 +20,14 @@
     errors: Vec<FieldError>,
 }
 
+/// A field whose value has not been parsed.
 struct RawField<'a> {
     name: String,
     value: &'a RawValue,
 }
 
 impl<'a> RequestFields<'a> {
-    /// The fields of the object in `text`; a fault when it is none.
+    /// Parses the object in `text`; an error is recorded when it is not a JSON object.
     pub(crate) fn parse(prefix: &str, text: &'a [u8]) -> Self {
         let mut parsed = RequestFields {
             prefix: prefix.to_owned(),
@@ -40,10 +41,10 @@
         parsed
     }
 
-    /// A text of at most `max_bytes` that must be there.
-    pub(crate) fn text(&mut self, name: &str, max_bytes: usize) -> String {
-        let reason = format!("must be a text of 1 to {max_bytes} bytes");
-        let fits = |text: &String| (1..=max_bytes).contains(&text.len());
+    /// Reads a required string of 1 to `max_bytes` bytes.
+    pub(crate) fn string(&mut self, name: &str, max_bytes: usize) -> String {
+        let reason = format!("must be a string of 1 to {max_bytes} bytes");
+        let fits = |string: &String| (1..=max_bytes).contains(&string.len());
         match self.take(name) {
             Some(raw) => self.checked(name, raw, &reason, fits),
             None => {
@@ -54,7 +55,7 @@
         .unwrap_or_default()
     }
 
-    /// A whole number of `range` that may be left out.
+    /// Reads an optional whole number within `range`.
     pub(crate) fn number(&mut self, name: &str, range: RangeInclusive<u64>) -> Option<u64> {
         let raw = self.take(name)?;
         let reason = format!(
@@ -65,14 +66,14 @@
         self.checked(name, raw, &reason, |number| range.contains(number))
     }
 
-    /// A truth value, false when left out.
+    /// Reads a boolean, false when left out.
     pub(crate) fn flag(&mut self, name: &str) -> bool {
         let raw = self.take(name);
         raw.and_then(|raw| self.checked(name, raw, "must be true or false", |_| true))
             .unwrap_or(false)
     }
 
-    /// A list of any values that must be there and hold 1 to `max_items`.
+    /// Reads a required list of 1 to `max_items` values of any type.
     pub(crate) fn list(&mut self, name: &str, max_items: usize) -> Vec<&'a RawValue> {
         let reason = format!("must be a list of 1 to {max_items} inputs");
         let Some(raw) = self.take(name) else {
@@ -86,7 +87,7 @@
         items
     }
 
-    /// An object within this one, empty when left out.
+    /// Reads a nested object, empty when left out.
     pub(crate) fn object(&mut self, name: &str) -> RequestFields<'a> {
         let prefix = format!("{}/{name}", self.prefix);
         match self.take(name) {
@@ -98,11 +99,11 @@
         }
     }
 
-    /// The faults of this object, with each field that nobody has read.
+    /// Returns the errors of this object; each field left unread is reported as unknown.
     pub(crate) fn finish(mut self) -> Vec<FieldError> {
         let unknown: Vec<String> = self.fields.drain(..).map(|field| field.name).collect();
         for name in unknown {
-            self.report_field(&name, "is no known field");
+            self.report_field(&name, "is not a known field");
         }
         self.errors
     }
@@ -117,9 +118,9 @@
         name: &str,
         raw: &RawValue,
         reason: &str,
-        is_right: impl Fn(&T) -> bool,
+        is_valid: impl Fn(&T) -> bool,
     ) -> Option<T> {
-        let parsed = serde_json::from_str::<T>(raw.get()).ok().filter(is_right);
+        let parsed = serde_json::from_str::<T>(raw.get()).ok().filter(is_valid);
         if parsed.is_none() {
             self.report_field(name, reason);
         }
@@ -130,7 +131,7 @@
         let mut seen: Vec<String> = Vec::new();
         for field in std::mem::take(&mut self.fields) {
             if seen.contains(&field.name) {
-                self.report_field(&field.name, "must not stand twice");
+                self.report_field(&field.name, "must not occur more than once");
                 continue;
             }
             seen.push(field.name.clone());
@@ -144,7 +145,7 @@
     }
 
     fn report_field(&mut self, name: &str, reason: &str) {
-        let name: String = name.chars().take(MAX_NAME_CHARS).collect();
+        let name: String = name.chars().take(MAX_REPORTED_NAME_CHARS).collect();
         let field = format!("{}/{name}", self.prefix);
         self.report(&field, reason);
     }
@@ -157,9 +158,12 @@
     }
 }
 
+/// Maximum number of fields of one object.
 const MAX_FIELDS: usize = 64;
-const MAX_NAME_CHARS: usize = 100;
+/// Maximum number of characters of a field's name that an error repeats.
+const MAX_REPORTED_NAME_CHARS: usize = 100;
 
+/// The fields of a JSON object in the order of the text, repeated ones included.
 struct RawObject<'a>(Vec<RawField<'a>>);
 
 impl<'de> Deserialize<'de> for RawObject<'de> {
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of one entry process.
+//! The settings of an entry process, and their file.
 
 use std::fs;
 use std::io;
@@ -16,144 +16,145 @@
 use crate::settings_reader::SettingsProblem;
 use crate::settings_reader::SettingsReader;
 
-/// What one entry process must be told: its place, its addresses and its limits.
+/// The settings of an entry process: its identity, addresses, limits and outputs.
 #[value]
 pub struct Settings {
-    /// The instance's name, unique over the site.
+    /// The instance's name, unique within the site.
     pub instance: String,
-    /// The name of its data centre.
+    /// The name of the instance's data centre.
     pub data_centre: String,
-    /// Where callers reach it over HTTP.
+    /// The address at which it serves callers over HTTP.
     pub caller_address: SocketAddr,
-    /// Where other entry instances reach it.
+    /// The address at which it receives messages of other entry instances.
     pub peer_address: SocketAddr,
-    /// Where operators reach it over HTTP.
+    /// The address at which it serves operators over HTTP.
     pub operator_address: SocketAddr,
     /// The platform's HTTP address.
     pub platform_address: SocketAddr,
-    /// A document to start with in place of the platform's.
+    /// A document file to use instead of the platform's document.
     pub document_file: Option<PathBuf>,
-    /// The key that all entry instances of the firm share.
+    /// The key that all entry instances of the firm share; it authenticates their messages.
     pub peer_key: Secret,
-    /// The threads that run the process's tasks.
+    /// Number of threads of the async executor.
     pub executor_threads: usize,
     /// Which log lines are written, in the syntax of `tracing`'s `EnvFilter`.
     pub log_filter: String,
     /// Where spans are written.
     pub trace_output: TraceOutput,
-    /// How long a stopping process shows as not ready before it closes its listeners, in ms.
+    /// How long a stopping process reports itself as not ready before it closes its listeners, in ms.
     pub stop_notice_ms: u64,
-    /// How it speaks to the platform.
+    /// How the process calls the platform.
     pub platform: PlatformSettings,
-    /// The bounds on what callers may ask and on what is kept.
+    /// Limits on callers' requests and on the state that is kept.
     pub limits: Limits,
-    /// How it dispatches leased runs on the operators' platform; none for tasks over HTTP.
+    /// The settings of leased runs on the operators' platform; none to dispatch tasks over HTTP.
     pub leased_runs: Option<LeasedRuns>,
 }
 
-/// How the process dispatches leased runs on the operators' platform.
+/// The settings of a process that dispatches leased runs on the operators' platform.
 #[value]
 #[derive(Copy)]
 pub struct LeasedRuns {
-    /// Where the platform asks whether to send callers here.
+    /// The address at which the platform asks for the readiness of the instance.
     pub ready_address: SocketAddr,
-    /// How long upstreams keep running what nobody holds, in milliseconds: the longest lease that
-    /// they grant.
+    /// The longest lease that upstreams grant, in milliseconds: how long they keep running tasks
+    /// whose leases are not renewed.
     pub lease_ms: u64,
-    /// How long a process that is asked to stop may take before it is killed, in milliseconds.
+    /// How long a stopping process may take before it is killed, in milliseconds.
     pub stop_grace_ms: u64,
 }
 
-/// Where spans are written, one JSON object a line.
+/// Where spans are written, as one JSON object a line.
 #[value]
 pub enum TraceOutput {
-    /// Nowhere; trace context is passed on unchanged.
+    /// Nowhere; the trace context of requests is propagated unchanged.
     None,
     /// To the standard error stream.
     Stderr,
-    /// To the end of a file.
+    /// Appended to a file.
     File(PathBuf),
 }
 
-/// How the process speaks to the platform.
+/// Timeouts, poll intervals and limits of the calls to the platform.
 #[value]
 pub struct PlatformSettings {
-    /// How long one call may take, in milliseconds.
+    /// The timeout of one call, in milliseconds.
     pub timeout_ms: u64,
-    /// The time between looks at the document's head, in milliseconds.
+    /// The interval between two reads of the document's head, in milliseconds.
     pub document_poll_ms: u64,
-    /// The time between looks at the list of instances, in milliseconds.
+    /// The interval between two reads of the list of instances, in milliseconds.
     pub instances_poll_ms: u64,
-    /// The most writes a second for claims of idempotency keys.
+    /// Maximum number of writes a second for claims of idempotency keys.
     pub claim_writes_per_second: u64,
-    /// The most claims that one write carries.
+    /// Maximum number of claims in one write.
     pub claims_per_write: usize,
-    /// The most claims that wait for a write.
+    /// Maximum number of claims that wait for a write.
     pub waiting_claims: usize,
 }
 
-/// The bounds on what callers may ask and on what is kept.
+/// Limits on callers' requests and on the state that is kept.
 #[value]
 pub struct Limits {
-    /// The longest request body in bytes.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: u64,
-    /// The longest request head in bytes.
+    /// Maximum length of a request head, in bytes.
     pub head_bytes: usize,
-    /// The most tasks of one job, whatever its service allows.
+    /// Maximum number of tasks of one job, whatever its service allows.
     pub tasks_per_job: usize,
-    /// The most connections of callers at a time.
+    /// Maximum number of open connections of each HTTP listener.
     pub connections: usize,
     /// How long a request body may take to arrive, in milliseconds.
     pub body_ms: u64,
-    /// How long a connection may stand without a request, in milliseconds.
+    /// How long a connection may be idle between requests, in milliseconds.
     pub idle_ms: u64,
-    /// The most events that wait for the dispatcher.
+    /// Maximum number of events that wait for the dispatcher.
     pub waiting_events: usize,
-    /// The most jobs that are open or kept for their answers.
+    /// Maximum number of jobs that are open or whose answers are kept.
     pub jobs: usize,
-    /// The most sessions.
+    /// Maximum number of sessions.
     pub sessions: usize,
-    /// The most job numbers of one session that are remembered.
+    /// Maximum number of job numbers that are remembered for one session.
     pub session_window: u64,
     /// How long answers are kept, in milliseconds.
     pub keep_answers_ms: u64,
 }
 
-/// Settings that cannot be used.
+/// Why settings cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[display("read settings {}: {source}", file.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// The text is no JSON with comments.
+    /// The text is not valid JSON with comments.
     #[display("parse settings: line {line}, column {column}: {reason}")]
     Syntax {
-        /// The line, from one.
+        /// The line, counted from one.
         line: usize,
-        /// The column, from one.
+        /// The column, counted from one.
         column: usize,
-        /// What is wrong.
+        /// The error of the parser.
         reason: String,
     },
-    /// Values are missing, wrong or unknown.
-    #[display("check settings: {}", lines(problems))]
+    /// Settings are missing, invalid or unknown.
+    #[display("check settings: {}", one_per_line(problems))]
     Invalid {
-        /// Every fault found.
+        /// Every problem found.
         #[error(not(source))]
         problems: Vec<SettingsProblem>,
     },
 }
 
-fn lines(problems: &[SettingsProblem]) -> String {
+fn one_per_line(problems: &[SettingsProblem]) -> String {
     let lines: Vec<String> = problems.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
+/// Minimum length of the peer key, in bytes.
 const MIN_PEER_KEY_BYTES: usize = 32;
 
 impl Settings {
@@ -161,7 +162,8 @@
     ///
     /// # Errors
     ///
-    /// A file that cannot be read, a fault of syntax, or all other faults at once.
+    /// [`SettingsError`] when the file cannot be read, is not valid JSON with comments, or has
+    /// problems, all of which are reported at once.
     pub fn load(file: &Path) -> Result<Settings, SettingsError> {
         let text = fs::read_to_string(file).map_err(|source| SettingsError::Read {
             file: file.to_owned(),
@@ -174,7 +176,8 @@
     ///
     /// # Errors
     ///
-    /// A fault of syntax, or all other faults at once.
+    /// [`SettingsError`] when the text is not valid JSON with comments, or has problems, all of which
+    /// are reported at once.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let value = jsonc_parser::parse_to_serde_value::<Value>(text, &Default::default());
         let value = value.map_err(|error| SettingsError::Syntax {
@@ -199,13 +202,13 @@
 fn read_settings(reader: &mut SettingsReader, problems: &mut Vec<SettingsProblem>) -> Settings {
     let leased_runs = read_leased_runs(reader, problems);
     Settings {
-        instance: reader.short_text("instance", MAX_INSTANCE_BYTES),
-        data_centre: reader.short_text("data_centre", MAX_INSTANCE_BYTES),
+        instance: reader.bounded_string("instance", MAX_INSTANCE_BYTES),
+        data_centre: reader.bounded_string("data_centre", MAX_INSTANCE_BYTES),
         caller_address: reader.address("caller_address"),
         peer_address: reader.address("peer_address"),
         operator_address: reader.address("operator_address"),
         platform_address: reader.address("platform_address"),
-        document_file: reader.optional_text("document_file").map(PathBuf::from),
+        document_file: reader.optional_string("document_file").map(PathBuf::from),
         peer_key: read_peer_key(reader, leased_runs.is_some()),
         executor_threads: reader.count("executor_threads", 1..=256, 2),
         log_filter: read_log_filter(reader),
@@ -231,21 +234,21 @@
     Some(leased_runs)
 }
 
-/// The key that the instances share; those of leased runs may keep it in the platform's store.
+/// Reads the peer key, which may be left out when the platform's store holds it.
 fn read_peer_key(reader: &mut SettingsReader, may_be_stored: bool) -> Secret {
     let key = match may_be_stored {
-        true => reader.optional_text("peer_key").unwrap_or_default(),
-        false => reader.text("peer_key"),
+        true => reader.optional_string("peer_key").unwrap_or_default(),
+        false => reader.string("peer_key"),
     };
     if !key.is_empty() && key.len() < MIN_PEER_KEY_BYTES {
-        reader.report_field("peer_key", "must hold at least 32 bytes");
+        reader.report_field("peer_key", "must be at least 32 bytes long");
     }
     Secret::new(key)
 }
 
 fn read_log_filter(reader: &mut SettingsReader) -> String {
     let filter = reader
-        .optional_text("log_filter")
+        .optional_string("log_filter")
         .unwrap_or_else(|| "info".to_owned());
     if filter
         .parse::<tracing_subscriber::filter::EnvFilter>()
@@ -257,7 +260,7 @@
 }
 
 fn read_trace_output(reader: &mut SettingsReader) -> TraceOutput {
-    match reader.optional_text("trace_output").as_deref() {
+    match reader.optional_string("trace_output").as_deref() {
         None | Some("none") => TraceOutput::None,
         Some("stderr") => TraceOutput::Stderr,
         Some(file) => TraceOutput::File(PathBuf::from(file)),
--- a/entry/src/settings_reader.rs
+++ b/entry/src/settings_reader.rs
@@ -1,4 +1,4 @@
-//! Reads typed fields out of a JSON object and gathers every fault.
+//! Reads typed fields of a JSON object of the settings and collects every problem.
 
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
@@ -8,18 +8,18 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// One fault of a settings file.
+/// One problem found in a settings file.
 #[value]
 #[derive(Display)]
 #[display("{path}: {reason}")]
 pub struct SettingsProblem {
-    /// The JSON pointer of the faulty value, `/limits/body_bytes`.
+    /// The JSON pointer of the value, such as `/limits/body_bytes`.
     pub path: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong, or what the value must be.
     pub reason: String,
 }
 
-/// One object of the settings; fields are taken out as they are read.
+/// One object of the settings; a field is removed when it is read.
 pub(crate) struct SettingsReader {
     path: String,
     fields: Map<String, Value>,
@@ -43,38 +43,38 @@
         reader
     }
 
-    /// A text that must be there and not be empty.
-    pub(crate) fn text(&mut self, name: &str) -> String {
-        let text = self.optional_text(name);
-        if text.is_none() && !self.is_reported(name) {
+    /// Reads a required, non-empty string.
+    pub(crate) fn string(&mut self, name: &str) -> String {
+        let string = self.optional_string(name);
+        if string.is_none() && !self.is_reported(name) {
             self.report_field(name, "is missing");
         }
-        text.unwrap_or_default()
+        string.unwrap_or_default()
     }
 
-    /// A text of at most `max_bytes` that must be there.
-    pub(crate) fn short_text(&mut self, name: &str, max_bytes: usize) -> String {
-        let text = self.text(name);
-        if text.len() > max_bytes {
-            self.report_field(name, &format!("must hold at most {max_bytes} bytes"));
+    /// Reads a required, non-empty string of at most `max_bytes`.
+    pub(crate) fn bounded_string(&mut self, name: &str, max_bytes: usize) -> String {
+        let string = self.string(name);
+        if string.len() > max_bytes {
+            self.report_field(name, &format!("must be at most {max_bytes} bytes long"));
         }
-        text
+        string
     }
 
-    /// A text that may be left out.
-    pub(crate) fn optional_text(&mut self, name: &str) -> Option<String> {
+    /// Reads an optional, non-empty string.
+    pub(crate) fn optional_string(&mut self, name: &str) -> Option<String> {
         match self.fields.remove(name)? {
-            Value::String(text) if !text.is_empty() => Some(text),
+            Value::String(string) if !string.is_empty() => Some(string),
             _ => {
-                self.report_field(name, "must be a text that is not empty");
+                self.report_field(name, "must be a non-empty string");
                 None
             }
         }
     }
 
-    /// An IP address with its port that must be there.
+    /// Reads a required IP address with port.
     pub(crate) fn address(&mut self, name: &str) -> SocketAddr {
-        let text = self.text(name);
+        let text = self.string(name);
         let parsed = text.parse::<SocketAddr>().ok();
         if parsed.is_none() && !self.is_reported(name) {
             self.report_field(name, "must be an IP address with a port, 10.0.0.1:8080");
@@ -82,7 +82,7 @@
         parsed.unwrap_or(([0, 0, 0, 0], 0).into())
     }
 
-    /// A whole number of `range`, `default` when left out.
+    /// Reads a whole number within `range`, `default` when left out.
     pub(crate) fn number(&mut self, name: &str, range: RangeInclusive<u64>, default: u64) -> u64 {
         let Some(value) = self.fields.remove(name) else {
             return default;
@@ -97,19 +97,19 @@
         }
     }
 
-    /// A whole number of `range` that counts things in memory.
+    /// Reads a whole number within `range` that counts things in memory, `default` when left out.
     pub(crate) fn count(&mut self, name: &str, range: RangeInclusive<u64>, default: u64) -> usize {
         usize::try_from(self.number(name, range, default)).unwrap_or(usize::MAX)
     }
 
-    /// A part of the settings, empty when left out.
+    /// Reads a nested object, empty when left out.
     pub(crate) fn object(&mut self, name: &str) -> SettingsReader {
         let path = format!("{}/{name}", self.path);
         let value = self.fields.remove(name);
         SettingsReader::new(path, value.unwrap_or_else(|| Map::new().into()))
     }
 
-    /// A part of the settings that may be left out.
+    /// Reads an optional nested object.
     pub(crate) fn optional_object(&mut self, name: &str) -> Option<SettingsReader> {
         self.fields.contains_key(name).then(|| self.object(name))
     }
@@ -118,11 +118,11 @@
         self.report(format!("{}/{name}", self.path), reason);
     }
 
-    /// The faults of this object, with each field that nobody has read.
+    /// Returns the problems of this object; each field left unread is reported as unknown.
     pub(crate) fn finish(mut self) -> Vec<SettingsProblem> {
         let unknown: Vec<String> = self.fields.keys().cloned().collect();
         for name in unknown {
-            self.report_field(&name, "is no known setting");
+            self.report_field(&name, "is not a known setting");
         }
         self.problems
     }
--- a/entry/src/submission_body.rs
+++ b/entry/src/submission_body.rs
@@ -1,4 +1,4 @@
-//! Turns the body of a request into a submission.
+//! Parses the body of a request into a submission.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,14 +10,16 @@
 use crate::problem::Refusal;
 use crate::request_fields::RequestFields;
 
+/// Maximum length of the name of a service or team, in bytes.
 const MAX_NAME_BYTES: usize = 200;
-const MAX_TIME_MS: u64 = 86_400_000;
+/// Maximum value of a field that holds a duration, in milliseconds.
+const MAX_DURATION_MS: u64 = 86_400_000;
 
 /// Parses a submission of at most `max_tasks` tasks.
 ///
 /// # Errors
 ///
-/// A refusal that names every faulty field.
+/// A refusal that lists every invalid field.
 pub(crate) fn parse_submission(
     body: &Bytes,
     max_tasks: usize,
@@ -26,16 +28,16 @@
     let mut fields = RequestFields::parse("", body);
     let mut needs_fields = fields.object("needs");
     let submission = Submission {
-        service: Arc::from(fields.text("service", MAX_NAME_BYTES)),
-        team: Arc::from(fields.text("team", MAX_NAME_BYTES)),
-        timeout: time(&mut fields, "timeout_ms"),
+        service: Arc::from(fields.string("service", MAX_NAME_BYTES)),
+        team: Arc::from(fields.string("team", MAX_NAME_BYTES)),
+        timeout: duration(&mut fields, "timeout_ms"),
         idempotent: fields.flag("idempotent"),
         needs: Needs {
             cores: need(&mut needs_fields, "cores"),
             memory_mib: need(&mut needs_fields, "memory_mib"),
             accelerators: need(&mut needs_fields, "accelerators"),
         },
-        declared_run_time: time(&mut fields, "declared_run_ms"),
+        declared_run_time: duration(&mut fields, "declared_run_ms"),
         inputs: inputs(&mut fields, body, max_tasks),
         traceparent,
     };
@@ -47,9 +49,9 @@
     }
 }
 
-fn time(fields: &mut RequestFields<'_>, name: &str) -> Option<Duration> {
+fn duration(fields: &mut RequestFields<'_>, name: &str) -> Option<Duration> {
     fields
-        .number(name, 1..=MAX_TIME_MS)
+        .number(name, 1..=MAX_DURATION_MS)
         .map(Duration::from_millis)
 }
 
@@ -58,7 +60,7 @@
     u32::try_from(need).unwrap_or(u32::MAX)
 }
 
-/// The inputs as they stand in the body, which they share.
+/// Reads the inputs as slices of `body`, without copying them.
 fn inputs<'a>(fields: &mut RequestFields<'a>, body: &'a Bytes, max_tasks: usize) -> Vec<Bytes> {
     fields
         .list("inputs", max_tasks)
--- a/entry/tests/settings_check.rs
+++ b/entry/tests/settings_check.rs
@@ -120,7 +120,7 @@
             .output()?;
         assert_eq!(output.status.code(), Some(code), "{output:?}");
         let faults = String::from_utf8(output.stderr)?;
-        assert_eq!(faults.contains("/x: is no known setting"), code == 2);
+        assert_eq!(faults.contains("/x: is not a known setting"), code == 2);
     }
     Ok(())
 }
