--- a/entry/examples/small_site.rs
+++ b/entry/examples/small_site.rs
@@ -1,8 +1,8 @@
-//! A whole small site on this machine: entry processes in two data centres between stand-ins for
-//! upstreams and platform.
+//! Runs a small site on this machine: entry processes in two data centres, with stand-ins for the
+//! upstreams and the platform.
 //!
-//! It submits a job through an entry that is not the job's home, prints the answer and where to
-//! look, and ends; with `--stay` it goes on until the standard input closes.
+//! It submits a job through an entry that is not the job's home, prints the answer and the addresses
+//! of the site, and ends; with `--stay` it runs until standard input closes.
 
 use std::error::Error;
 use std::fs;
@@ -25,6 +25,7 @@
 
 const UPSTREAMS: usize = 4;
 const TASKS: usize = 480;
+/// How long a task runs, in milliseconds.
 const RUN_MS: u64 = 50;
 const STOP_TIMEOUT: Duration = Duration::from_secs(20);
 const ENTRIES: [(&str, &str); 3] = [("entry-a", NORTH), ("entry-b", NORTH), ("entry-c", SOUTH)];
@@ -61,7 +62,7 @@
         let spans = span_file(site.directory.path(), name);
         let settings = json!({ "trace_output": spans });
         site.start_entry(name, data_centre, settings).await?;
-        println!("{name} runs in data centre {data_centre}");
+        println!("{name} started in data centre {data_centre}");
     }
     site.wait_for_siblings(2).await?;
     Ok(site)
@@ -71,7 +72,7 @@
     directory.join(format!("{name}-spans.jsonl"))
 }
 
-/// Submits a job through `entry-c` whose home is `entry-a`.
+/// Submits a job through `entry-c`; its session, and so its home, is at `entry-a`.
 async fn submit(site: &Site) -> Result<(), Box<dyn Error>> {
     let session = site.open_session(0).await?;
     let path = format!("/v1/sessions/{session}/jobs/1");
@@ -87,14 +88,14 @@
     println!("  results  {results}");
     println!("  last     {}", body["results"][TASKS - 1]);
     let starts = site.starts();
-    println!("\nthe upstreams' own record of starts:");
+    println!("\nstarts that the upstreams recorded:");
     println!("  tasks    {}", starts.tasks);
-    println!("  most starts of one task  {}", starts.most_of_one);
+    println!("  maximum starts of one task  {}", starts.most_of_one);
     Ok(())
 }
 
 fn show(site: &Site) {
-    println!("\nwhere to look, while it runs:");
+    println!("\naddresses while the site runs:");
     for entry in &site.entries {
         println!("  callers  http://{}/v1/tasks", entry.callers);
         println!("  status   http://{}/status", entry.operators);
@@ -103,7 +104,7 @@
     println!("  platform http://{}", site.platform.address());
 }
 
-/// Stops the entries and counts the spans that carry the job's trace.
+/// Stops the entries and counts the spans of the job's trace by hop.
 async fn stop(site: &mut Site) -> Result<(), Box<dyn Error>> {
     for entry in &mut site.entries {
         entry.process.terminate()?;
--- a/entry/src/bind.rs
+++ b/entry/src/bind.rs
@@ -1,11 +1,11 @@
-//! Handlers that share a context.
+//! Binds request handlers to a shared context.
 
 use std::sync::Arc;
 
 use trillium::Conn;
 use trillium::Handler;
 
-/// A handler that is given the shared context with each request.
+/// Returns a handler that passes the shared context to `handle` with each request.
 pub(crate) fn bind<C, F, Answer>(context: &Arc<C>, handle: F) -> impl Handler + use<C, F, Answer>
 where
     C: Send + Sync + 'static,
--- a/entry/src/caller_api.rs
+++ b/entry/src/caller_api.rs
@@ -1,4 +1,4 @@
-//! The caller interface over HTTP: sessions, jobs and single tasks.
+//! The routes of the caller interface over HTTP: sessions, jobs and single tasks.
 
 use std::sync::Arc;
 
@@ -20,10 +20,11 @@
 use crate::problem::Refusal;
 use crate::session_handler::open_session;
 
+/// The header that identifies a request; answers repeat it.
 const REQUEST_ID: &str = "request-id";
 const MAX_REQUEST_ID_BYTES: usize = 128;
 
-/// The handler of every path of the caller interface.
+/// Returns the handler of every path of the caller interface.
 pub(crate) fn caller_api(context: &Arc<CallerContext>) -> impl Handler + use<> {
     let router = Router::new()
         .without_options_handling()
@@ -36,13 +37,13 @@
         .get("/v1/jobs/:key", bind(context, look_up_keyed))
         .delete("/v1/jobs/:key", bind(context, cancel_keyed))
         .post("/v1/tasks", bind(context, submit_single));
-    (bind(context, name_request), router, refuse_unknown)
+    (bind(context, set_request_id), router, refuse_unknown)
 }
 
 const NUMBERED_PATH: &str = "/v1/sessions/:session/jobs/:number";
 
-/// Gives the answer the request's own id, and closes the connection when stopping.
-async fn name_request(context: Arc<CallerContext>, conn: Conn) -> Conn {
+/// Sets the request id of the answer, and closes the connection when the process is stopping.
+async fn set_request_id(context: Arc<CallerContext>, conn: Conn) -> Conn {
     mark_request_received(&conn);
     let conn = match context.stopping.is_set() {
         true => conn.with_response_header("connection", "close"),
--- a/entry/src/caller_context.rs
+++ b/entry/src/caller_context.rs
@@ -1,4 +1,4 @@
-//! What the handlers of the caller interface share.
+//! The state that the handlers of the caller interface share.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
@@ -12,7 +12,7 @@
 use crate::spans::Spans;
 use crate::stopping::Stopping;
 
-/// Shared by every handler of the caller interface.
+/// The state that every handler of the caller interface shares.
 pub(crate) struct CallerContext {
     pub(crate) identity: PeerIdentity,
     pub(crate) tokens: SessionTokens,
@@ -25,7 +25,7 @@
 }
 
 impl CallerContext {
-    /// A name for a request whose caller gave none.
+    /// Generates an id for a request whose caller sent none.
     pub(crate) fn new_request_id(&self) -> String {
         let number = self.next_request_id.fetch_add(1, Ordering::Relaxed);
         format!("{}-{number}", self.identity.incarnation)
--- a/entry/src/clock.rs
+++ b/entry/src/clock.rs
@@ -7,27 +7,28 @@
 use rustix::time::ClockId;
 use rustix::time::clock_gettime;
 
-/// Reads time since the start of the process; it goes on while the process is frozen and while
-/// its machine is suspended.
+/// A clock that counts from its creation, also while the process is frozen or its machine is
+/// suspended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started_at_us: u64,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     pub(crate) fn start() -> Self {
         Clock {
             started_at_us: boot_time_us(),
         }
     }
 
-    /// The time now.
+    /// Returns the current time of this clock.
     pub(crate) fn now(&self) -> Timestamp {
         Timestamp::from_us(boot_time_us().saturating_sub(self.started_at_us))
     }
 
-    /// The instant at which this clock shows `timestamp`, unless the machine is suspended by then.
+    /// Returns the instant at which this clock reaches `timestamp`, provided that the machine is not
+    /// suspended meanwhile.
     pub(crate) fn instant(&self, timestamp: Timestamp) -> Instant {
         let left = timestamp.since(self.now());
         let now = Instant::now();
@@ -35,7 +36,7 @@
     }
 }
 
-/// Microseconds since the machine started, suspended or not.
+/// Returns the microseconds since the machine booted, time in suspension included.
 fn boot_time_us() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
@@ -43,4 +44,5 @@
     seconds.saturating_mul(1_000_000).saturating_add(micros)
 }
 
+/// Replaces a delay that would overflow `Instant`.
 const FAR_FUTURE: Duration = Duration::from_secs(86_400 * 365);
--- a/entry/src/decision_metrics.rs
+++ b/entry/src/decision_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of what a home of leased runs decided.
+//! Counters of decisions that a home of leased runs made.
 
 use almondhead_lib::runs::run_counts::RunCounts;
 use prometheus::IntCounter;
@@ -6,7 +6,7 @@
 use prometheus::Opts;
 use prometheus::Registry;
 
-/// The counters that follow a dispatcher's counts.
+/// The metrics that are copied from a dispatcher's counts.
 pub(crate) struct DecisionMetrics {
     given_up: IntCounterVec,
     retried: IntCounterVec,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Brings the counters up to those of the dispatcher.
+    /// Raises the counters to the counts of the dispatcher.
     pub(crate) fn copy(&self, counts: &RunCounts) {
         let copy = |counter: &IntCounter, count: u64| {
             counter.inc_by(count.saturating_sub(counter.get()));
--- a/entry/src/deferred_transport.rs
+++ b/entry/src/deferred_transport.rs
@@ -1,4 +1,4 @@
-//! A transport that starts once the key of the instances is known.
+//! A peer transport that starts once the peer key is known.
 
 use std::sync::Arc;
 use std::sync::OnceLock;
@@ -10,22 +10,22 @@
 use crate::peer::PeerTransport;
 use crate::peer_nng::NngTransport;
 
-/// Passes messages to a transport, and refuses them as long as there is none.
+/// Passes messages to a transport; refuses them until the transport has been started.
 #[derive(Default)]
-pub(crate) struct LateTransport {
+pub(crate) struct DeferredTransport {
     started: OnceLock<NngTransport>,
 }
 
-impl LateTransport {
-    /// Takes the transport that has started.
+impl DeferredTransport {
+    /// Sets the started transport; a second one is ignored.
     pub(crate) fn start(&self, transport: NngTransport) {
         if self.started.set(transport).is_err() {
-            tracing::warn!("a second transport between instances: not used");
+            tracing::warn!("second peer transport ignored");
         }
     }
 }
 
-impl PeerTransport for LateTransport {
+impl PeerTransport for DeferredTransport {
     fn send(&self, to: &Arc<str>, message: &PeerMessage) -> Result<(), PeerSendError> {
         match self.started.get() {
             Some(transport) => transport.send(to, message),
--- a/entry/src/driver_handle.rs
+++ b/entry/src/driver_handle.rs
@@ -1,4 +1,4 @@
-//! How the other parts of the process reach the driver.
+//! The handle by which the other parts of the process send commands to the driver.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -25,7 +25,7 @@
     next_request: Arc<AtomicU64>,
 }
 
-/// A caller's request whose answer is still to come.
+/// A caller's request that waits for its answer.
 pub(crate) struct OpenRequest {
     request: RequestId,
     answer: Receiver<Arc<JobAnswer>>,
@@ -33,10 +33,10 @@
     is_answered: bool,
 }
 
-/// A request that the driver did not take.
+/// Why a request was not queued for the driver.
 #[derive(Debug, Display, Error)]
 pub(crate) enum DriverError {
-    /// The queue of events is full.
+    /// The queue of commands is full.
     #[display("hand a request to the dispatcher: its queue is full")]
     QueueFull,
     /// The driver has ended.
@@ -45,7 +45,7 @@
 }
 
 impl DriverHandle {
-    /// A handle with the receiver for the driver, which queues at most `waiting_events`.
+    /// Creates a handle and the receiver for the driver, which queues at most `waiting_events`.
     pub(crate) fn new(waiting_events: usize) -> (Self, Receiver<Command>) {
         let (commands, receiver) = async_channel::bounded(waiting_events);
         let handle = DriverHandle {
@@ -55,17 +55,21 @@
         (handle, receiver)
     }
 
-    /// Hands over an event that must not be lost, waiting while the queue is full.
+    /// Queues an event; waits while the queue is full.
     pub(crate) async fn send(&self, event: Event) {
         self.commands.send(Command::Event(event)).await.ok();
     }
 
-    /// Hands over an event that may be lost; says whether it was taken.
+    /// Queues an event unless the queue is full; returns whether it was queued.
     pub(crate) fn try_send(&self, event: Event) -> bool {
         self.commands.try_send(Command::Event(event)).is_ok()
     }
 
-    /// Hands over a caller's request at once or not at all.
+    /// Queues a caller's request without waiting.
+    ///
+    /// # Errors
+    ///
+    /// [`DriverError`] when the queue is full or the driver has ended.
     pub(crate) fn request(
         &self,
         event: impl FnOnce(RequestId) -> Event,
@@ -115,7 +119,7 @@
 }
 
 impl Drop for OpenRequest {
-    /// Tells the dispatcher of a request that nobody waits for any more.
+    /// Reports an unanswered request to the dispatcher as dropped.
     fn drop(&mut self) {
         if self.is_answered {
             return;
--- a/entry/src/effects.rs
+++ b/entry/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the driver's actions do to the world.
+//! Carries out the dispatcher's actions over the network.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 use crate::peer::PeerTransport;
 use crate::upstream_client::UpstreamClient;
 
-/// Carries out the dispatcher's actions without ever making the driver wait.
+/// The clients that carry out the dispatcher's actions; no method blocks the driver.
 pub(crate) struct Effects {
     pub(crate) driver: DriverHandle,
     pub(crate) upstreams: Arc<UpstreamClient>,
@@ -31,7 +31,7 @@
 }
 
 impl Effects {
-    /// Starts an attempt; its end comes back as an event.
+    /// Starts an attempt; its end is reported as an event.
     pub(crate) fn start(&self, attempt: Attempt) {
         let upstreams = Arc::clone(&self.upstreams);
         let driver = self.driver.clone();
@@ -44,13 +44,13 @@
         });
     }
 
-    /// Asks an upstream to stop tasks; nothing comes back.
+    /// Asks an upstream to stop tasks; no event reports the result.
     pub(crate) fn stop(&self, target: Arc<UpstreamTarget>, tasks: Vec<TaskId>) {
         let upstreams = Arc::clone(&self.upstreams);
         executor::spawn(async move { upstreams.stop(&target, &tasks).await });
     }
 
-    /// Queues a claim; its end comes back as an event, at once when the queue is full.
+    /// Queues a claim; its result is reported as an event, at once when the queue is full.
     pub(crate) fn claim(&self, claim: u64, team: Arc<str>, key: Arc<str>) {
         let key = ClaimKey::new(&team, &key);
         if self.claims.push(ClaimRequest { claim, key }) {
@@ -63,7 +63,7 @@
         });
     }
 
-    /// Reads who claimed a key; what is found comes back as the end of `claim`.
+    /// Reads which incarnation has claimed a key; reports it as the result of `claim`.
     pub(crate) fn find_home(&self, claim: u64, team: &str, key: &str) {
         let key = ClaimKey::new(team, key);
         let platform = Arc::clone(&self.platform);
@@ -74,7 +74,7 @@
         });
     }
 
-    /// Sends a message to another entry instance; gives back the event of one not sent.
+    /// Sends a message to another entry instance; returns an event when it was not sent.
     pub(crate) fn send_peer(&self, instance: Arc<str>, message: PeerMessage) -> Option<Event> {
         let error = self.peers.send(&instance, &message).err()?;
         tracing::debug!(%error, "peer message not sent");
--- a/entry/src/executor.rs
+++ b/entry/src/executor.rs
@@ -5,7 +5,7 @@
 use trillium_smol::async_global_executor;
 use trillium_smol::async_global_executor::GlobalExecutorConfig;
 
-/// Starts the executor's threads; to be called once, before anything else runs on it.
+/// Starts the executor's threads; must be called once, before anything is spawned.
 pub(crate) fn start(threads: usize) {
     let config = GlobalExecutorConfig::default()
         .with_min_threads(threads)
@@ -13,12 +13,12 @@
     async_global_executor::init_with_config(config);
 }
 
-/// Runs a future to its end beside the caller.
+/// Spawns a future that runs to its end in the background.
 pub(crate) fn spawn(future: impl Future<Output = ()> + Send + 'static) {
     async_global_executor::spawn(future).detach();
 }
 
-/// Runs a future on this thread and waits for its end.
+/// Runs a future and blocks this thread until it ends.
 pub(crate) fn block_on<T>(future: impl Future<Output = T>) -> T {
     async_global_executor::block_on(future)
 }
--- a/entry/src/lib.rs
+++ b/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! One almondhead entry instance: sockets, timers and clients round the dispatcher.
+//! One almondhead entry instance: the sockets, timers and clients around the dispatcher.
 
 mod answer;
 mod bind;
@@ -7,6 +7,7 @@
 mod claim_queue;
 mod clock;
 mod decision_metrics;
+mod deferred_transport;
 mod document_watch;
 mod driver;
 mod driver_handle;
@@ -17,7 +18,6 @@
 mod instance_watch;
 mod job_address;
 mod job_handlers;
-mod late_transport;
 mod listener;
 mod logging;
 mod metrics;
--- a/entry/src/listener.rs
+++ b/entry/src/listener.rs
@@ -1,4 +1,4 @@
-//! HTTP listeners of the process.
+//! The HTTP listeners of the process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::guarded_transport::GuardingAcceptor;
 use crate::settings::Limits;
 
-/// A listener that cannot be opened.
+/// Why a listener cannot be opened.
 #[derive(Debug, Display, Error)]
 #[display("listen for {purpose} at {address}: {source}")]
 pub struct ListenError {
@@ -23,7 +23,7 @@
     source: io::Error,
 }
 
-/// Opens a listener.
+/// Opens a TCP listener; `purpose` names it in errors.
 pub(crate) fn bind(
     purpose: &'static str,
     address: SocketAddr,
@@ -35,7 +35,7 @@
     })
 }
 
-/// Serves HTTP on a listener, within the limits on heads, bodies and connections.
+/// Serves HTTP on a listener, with the limits on heads, bodies and connections enforced.
 pub(crate) fn serve(
     listener: Async<TcpListener>,
     limits: &Limits,
--- a/entry/src/logging.rs
+++ b/entry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on the standard output stream, written beside the process's work.
+//! Logs as JSON lines on standard output, written by a background thread.
 
 use std::sync::OnceLock;
 
@@ -10,20 +10,22 @@
 use tracing_subscriber::reload::Handle;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The most lines that wait for the stream; further ones are dropped rather than waited for.
-const MAX_WAITING_LINES: usize = 4_096;
+/// Maximum number of lines that wait to be written; further ones are dropped, so that logging never
+/// blocks.
+const MAX_BUFFERED_LINES: usize = 4_096;
 
 type FilterHandle = Handle<EnvFilter, tracing_subscriber::Registry>;
 
+/// The handle by which the filter is changed; set once logging has started.
 static FILTER: OnceLock<FilterHandle> = OnceLock::new();
 
-/// Starts logging by `filter`, whose syntax the settings have checked.
+/// Starts logging with `filter`, whose syntax was checked with the settings.
 ///
-/// Lines that wait are written when the guard is dropped.
+/// Waiting lines are written when the returned guard is dropped.
 pub(crate) fn start(filter: &str) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(MAX_WAITING_LINES)
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
         .finish(std::io::stdout());
     let (filter, handle) = reload::Layer::new(parse(filter));
     let lines = tracing_subscriber::fmt::layer()
@@ -38,7 +40,7 @@
         .try_init();
     match started {
         Ok(()) => {
-            // Set once: logging starts once a process.
+            // Fails only when it is already set; logging starts once per process.
             FILTER.set(handle).ok();
         }
         Err(error) => eprintln!("start logging: {error}"),
@@ -46,12 +48,12 @@
     guard
 }
 
-/// Changes which lines are written.
+/// Replaces the filter that selects the lines to write.
 pub(crate) fn set_filter(filter: &str) {
     if let Some(handle) = FILTER.get()
         && let Err(error) = handle.reload(parse(filter))
     {
-        tracing::warn!(%error, "filter of the logs not changed");
+        tracing::warn!(%error, "log filter not changed");
     }
 }
 
--- a/entry/src/metrics.rs
+++ b/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the process.
+//! The metrics of a process that dispatches tasks over HTTP.
 
 use std::sync::Arc;
 
@@ -118,7 +118,7 @@
         self.0.claims.with_label_values(&[end]).inc();
     }
 
-    /// The text of a scrape, with the gauges set by `status`.
+    /// Returns the text of a scrape, after updating the metrics from `status` and `peers`.
     pub(crate) fn scrape(
         &self,
         status: &DriverStatus,
@@ -131,7 +131,7 @@
         Ok(text)
     }
 
-    /// Brings the counters of messages up to those of the transport and the dispatcher.
+    /// Raises the counters of messages to the counts of the transport and the dispatcher.
     fn copy_counters(&self, status: &DriverStatus, peers: &PeerCounters) {
         for count in PeerCount::ALL {
             let counter = self.0.peer_messages.with_label_values(&[count.label()]);
--- a/entry/src/operator_api.rs
+++ b/entry/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: liveness, readiness, metrics and status.
+//! The pages of the operators' listener: liveness, readiness, metrics and status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use crate::reply::json_reply;
 use crate::stopping::Stopping;
 
-/// Shared by every handler of the operators' listener.
+/// The state that every handler of the operators' listener shares.
 pub(crate) struct OperatorContext {
     pub(crate) identity: PeerIdentity,
     pub(crate) data_centre: String,
@@ -32,7 +32,7 @@
     pub(crate) stopping: Stopping,
 }
 
-/// A page that tells one word.
+/// The body of an answer that only names a state.
 #[message]
 struct StatePage {
     state: String,
@@ -61,7 +61,7 @@
     messages: MessagesPage,
 }
 
-/// The messages caused since the start, by kind.
+/// The number of messages caused since the start, by kind.
 #[message]
 struct MessagesPage {
     attempts: u64,
@@ -76,10 +76,11 @@
     control: u64,
 }
 
+/// How long the dispatcher may take to report its status.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
-const TEXT: &str = "text/plain; version=0.0.4";
+const METRICS_TEXT: &str = "text/plain; version=0.0.4";
 
-/// The handler of every path of the operators' listener.
+/// Returns the handler of every path of the operators' listener.
 pub(crate) fn operator_api(context: &Arc<OperatorContext>) -> impl Handler + use<> {
     Router::new()
         .get("/livez", bind(context, livez))
@@ -109,14 +110,14 @@
 async fn metrics(context: Arc<OperatorContext>, conn: Conn) -> Conn {
     let status = context.status().await.unwrap_or_default();
     match context.metrics.scrape(&status, &context.peers) {
-        Ok(text) => body_reply(conn, 200, TEXT, text),
+        Ok(text) => body_reply(conn, 200, METRICS_TEXT, text),
         Err(error) => state_reply(conn, 500, &error.to_string()),
     }
 }
 
 async fn status(context: Arc<OperatorContext>, conn: Conn) -> Conn {
     match context.status().await {
-        Some(status) => json_reply(conn, 200, &context.page(&status)),
+        Some(status) => json_reply(conn, 200, &context.status_page(&status)),
         None => state_reply(conn, 503, "dispatcher does not answer"),
     }
 }
@@ -140,7 +141,7 @@
         status.revision > 0 && !status.leaving && !self.stopping.is_set()
     }
 
-    fn page(&self, status: &DriverStatus) -> StatusPage {
+    fn status_page(&self, status: &DriverStatus) -> StatusPage {
         let ready = self.is_ready(status);
         let status = &status.dispatcher;
         let messages = &status.messages;
--- a/entry/src/reload.rs
+++ b/entry/src/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings file again when it has changed or a signal says so.
+//! Reloads the settings file when it has changed or a signal asks for it.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 
 use crate::settings::Settings;
 
-/// How often the file is looked at without a signal.
-const PERIOD: Duration = Duration::from_secs(2);
+/// How often the file is checked for changes.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Follows the settings file for ever.
+/// Watches the settings file until the process ends.
 ///
-/// What a running process can take over is the filter of its logs; everything else is named in
-/// the log and takes effect at the next start.
+/// Only the log filter changes in a running process; when any other setting has changed, a log line
+/// says that a restart is needed.
 pub(crate) async fn watch_settings(file: PathBuf, mut settings: Settings, reload: Receiver<()>) {
     let mut text = std::fs::read_to_string(&file).ok();
     loop {
         let signalled = or(async { reload.recv().await.is_ok() }, async {
-            Timer::after(PERIOD).await;
+            Timer::after(POLL_INTERVAL).await;
             false
         });
         let signalled = signalled.await;
         let read = match std::fs::read_to_string(&file) {
             Ok(read) => read,
             Err(error) => {
-                tracing::warn!(file = %file.display(), %error, "settings not read again");
+                tracing::warn!(file = %file.display(), %error, "settings file not read");
                 continue;
             }
         };
@@ -36,18 +36,18 @@
         }
         match Settings::parse(&read) {
             Ok(new) => {
-                take_over(&settings, &new, signalled);
+                apply(&settings, &new, signalled);
                 settings = new;
             }
             Err(error) => {
-                tracing::warn!(file = %file.display(), %error, "changed settings not valid: kept");
+                tracing::warn!(file = %file.display(), %error, "changed settings not valid: the earlier settings stay in effect");
             }
         }
         text = Some(read);
     }
 }
 
-fn take_over(old: &Settings, new: &Settings, signalled: bool) {
+fn apply(old: &Settings, new: &Settings, signalled: bool) {
     if old.log_filter != new.log_filter {
         crate::logging::set_filter(&new.log_filter);
     }
--- a/entry/src/reply.rs
+++ b/entry/src/reply.rs
@@ -1,4 +1,4 @@
-//! Whole answers over HTTP.
+//! HTTP answers with complete bodies.
 
 use serde::Serialize;
 use trillium::Conn;
@@ -6,13 +6,13 @@
 
 const JSON: &str = "application/json";
 
-/// Answers with `status` and a message in JSON, whole and with its length.
+/// Answers with `status` and a message as JSON body of known length.
 pub(crate) fn json_reply(conn: Conn, status: u16, message: &impl Serialize) -> Conn {
-    let body = serde_json::to_vec(message).expect("messages have text keys only");
+    let body = serde_json::to_vec(message).expect("messages have only string keys");
     body_reply(conn, status, JSON, body)
 }
 
-/// Answers with `status` and a body, whole and with its length.
+/// Answers with `status` and a body of known length.
 pub(crate) fn body_reply(
     conn: Conn,
     status: u16,
--- a/entry/src/request_body.rs
+++ b/entry/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within their limits.
+//! Reads request bodies within the limits on length and time.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::problem::Refusal;
 use crate::settings::Limits;
 
-/// The kind of error by which the server library refuses chunks beyond the limit.
-const CHUNKS_TOO_LONG: ErrorKind = ErrorKind::Unsupported;
+/// The kind of error that the server library returns for a chunked body beyond the limit.
+const CHUNKED_BODY_TOO_LONG: ErrorKind = ErrorKind::Unsupported;
 
-/// The whole body of a request.
+/// Reads the complete body of a request.
 ///
 /// # Errors
 ///
-/// A refusal when the body is too long, too slow or cut.
+/// A refusal when the body is longer than `body_bytes`, is not complete within `body_ms`, or breaks
+/// off.
 pub(crate) async fn read_body(conn: &mut Conn, limits: &Limits) -> Result<Bytes, Refusal> {
     let limit_bytes = limits.body_bytes;
     let body = conn.request_body().with_max_len(limit_bytes);
@@ -33,7 +34,7 @@
         match body.read_bytes().await {
             Ok(body) => Ok(Bytes::from(body)),
             Err(Error::ReceivedBodyTooLong(_)) => Err(Refusal::BodyTooLong { limit_bytes }),
-            Err(Error::Io(error)) if error.kind() == CHUNKS_TOO_LONG => {
+            Err(Error::Io(error)) if error.kind() == CHUNKED_BODY_TOO_LONG => {
                 Err(Refusal::BodyTooLong { limit_bytes })
             }
             Err(_) => Err(Refusal::BodyCut),
--- a/entry/src/run_handle.rs
+++ b/entry/src/run_handle.rs
@@ -1,4 +1,4 @@
-//! How the other parts of the process reach the driver of leased runs.
+//! The handle by which the other parts of the process send commands to the driver of leased runs.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -15,14 +15,14 @@
 
 /// Sends events to the driver; clones share one queue.
 ///
-/// The queue needs no bound of its own: the listener bounds requests, and the dispatcher orders.
+/// The queue is unbounded: the listener limits open requests, and the dispatcher open orders.
 #[derive(Clone)]
 pub(crate) struct RunHandle {
     commands: Sender<RunCommand>,
     next_request: Arc<AtomicU64>,
 }
 
-/// A caller's request whose answer is still to come.
+/// A caller's request that waits for its answer.
 pub(crate) struct OpenRunRequest {
     request: RequestId,
     answer: Receiver<RunAnswer>,
@@ -31,7 +31,7 @@
 }
 
 impl RunHandle {
-    /// A handle with the receiver for the driver.
+    /// Creates a handle and the receiver for the driver.
     pub(crate) fn new() -> (Self, Receiver<RunCommand>) {
         let (commands, receiver) = async_channel::unbounded();
         let handle = RunHandle {
@@ -41,13 +41,13 @@
         (handle, receiver)
     }
 
-    /// Hands over an event.
+    /// Queues an event.
     pub(crate) fn send(&self, event: RunEvent) {
-        // Fails only when the driver has ended, with the process.
+        // Fails only when the driver has ended, which happens at the end of the process.
         self.commands.try_send(RunCommand::Event(event)).ok();
     }
 
-    /// Hands over a caller's request.
+    /// Queues a caller's request.
     pub(crate) fn request(&self, event: impl FnOnce(RequestId) -> RunEvent) -> OpenRunRequest {
         let request = RequestId(self.next_request.fetch_add(1, Ordering::Relaxed));
         let (reply, answer) = async_channel::bounded(1);
@@ -56,7 +56,7 @@
             event: event(request),
             reply,
         };
-        // When the driver has ended, the answer's channel is closed and says so.
+        // When the driver has ended, the answer's channel is closed, so the request ends unanswered.
         self.commands.try_send(command).ok();
         OpenRunRequest {
             request,
@@ -84,7 +84,7 @@
 }
 
 impl Drop for OpenRunRequest {
-    /// Tells the dispatcher of a request that nobody waits for any more.
+    /// Reports an unanswered request to the dispatcher as dropped.
     fn drop(&mut self) {
         if !self.is_answered {
             let request = self.request;
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, histograms and gauges of leased runs.
+//! The metrics of a process that dispatches leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -98,7 +98,7 @@
         })))
     }
 
-    /// Counts an answer.
+    /// Counts an answer and the time that it took.
     pub(crate) fn count_answer(&self, answer: &RunAnswer, took: Duration) {
         self.count_outcome(answer_name(answer), took);
         if let RunAnswer::NotRun { reason, .. } = answer {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Counts a caller who left before the answer.
+    /// Counts a request whose caller left before the answer, and the time until then.
     pub(crate) fn count_caller_left(&self, took: Duration) {
         self.count_outcome("caller_left", took);
     }
@@ -119,7 +119,7 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts an order and what came back.
+    /// Counts an order by its answer, and the time that the answer took.
     pub(crate) fn count_order(&self, order: &RunOrder, answer: &OrderAnswer, took: Duration) {
         let metrics = &self.0;
         let kind = order_name(order);
@@ -131,7 +131,7 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// The text of a scrape, with the gauges set by `status`.
+    /// Returns the text of a scrape, after updating the metrics from `status`.
     pub(crate) fn scrape(&self, status: &RunStatus) -> Result<Vec<u8>, prometheus::Error> {
         self.set_gauges(status);
         self.0.decisions.copy(&status.counts);
--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -27,8 +27,8 @@
 use trillium_server_common::ServerHandle;
 
 use crate::clock::Clock;
+use crate::deferred_transport::DeferredTransport;
 use crate::executor;
-use crate::late_transport::LateTransport;
 use crate::listener;
 use crate::peer::Incoming;
 use crate::peer::PeerSettings;
@@ -110,7 +110,7 @@
         );
         let sink = event_sink(&handle);
         let store = store_client(&settings, &sink);
-        let peers = Arc::new(LateTransport::default());
+        let peers = Arc::new(DeferredTransport::default());
         let (register_again, registrations) = async_channel::bounded(1);
         let effects = RunEffects {
             orders: Arc::new(OrderClient::default()),
--- a/entry/src/secret.rs
+++ b/entry/src/secret.rs
@@ -1,8 +1,8 @@
-//! Values that must not show in logs.
+//! Values that must not appear in logs.
 
 use std::fmt;
 
-/// A secret whose `Debug` form shows nothing of it.
+/// A secret whose `Debug` output does not contain its bytes.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Vec<u8>);
 
@@ -12,7 +12,7 @@
         Secret(bytes.into())
     }
 
-    /// The bytes, for the one place that needs them.
+    /// Returns the bytes of the secret.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
--- a/entry/src/session_handler.rs
+++ b/entry/src/session_handler.rs
@@ -1,4 +1,4 @@
-//! Opens sessions.
+//! The handler that opens sessions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::problem::Refusal;
 use crate::reply::json_reply;
 
-/// The answer to an opened session.
+/// The body of the answer when a session was opened.
 #[message]
 struct SessionOpened {
     session: String,
@@ -21,7 +21,8 @@
     answers_kept_ms: u64,
 }
 
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The delay after which callers may retry to open a session that was refused.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// `POST /v1/sessions`
 pub(crate) async fn open_session(context: Arc<CallerContext>, conn: Conn) -> Conn {
@@ -41,7 +42,7 @@
 fn refuse(conn: Conn, reason: NotRunReason) -> Conn {
     let answer = JobAnswer::NotRun {
         reason,
-        retry_after: Some(RETRY_AFTER),
+        retry_after: Some(REFUSED_RETRY_DELAY),
     };
     answer_reply(conn, &answer)
 }
--- a/entry/src/shutdown.rs
+++ b/entry/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals that the process listens for.
+//! Signals that the process handles.
 
 use std::io;
 use std::thread;
@@ -9,11 +9,11 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-/// What signals ask for.
+/// Requests to the process that arrive as signals.
 pub(crate) struct ProcessSignals {
-    /// Hears the first request to stop; later ones change nothing.
+    /// Receives requests to stop; those after the first have no effect.
     pub(crate) stop: Receiver<()>,
-    /// Hears requests to read the settings again.
+    /// Receives requests to read the settings again.
     pub(crate) reload: Receiver<()>,
 }
 
@@ -30,7 +30,7 @@
                     SIGHUP => &reload_sender,
                     _ => &stop_sender,
                 };
-                // A request that waits already says the same.
+                // Fails when a request is already queued, which has the same effect.
                 sender.try_send(()).ok();
             }
         })?;
--- a/entry/src/span_export.rs
+++ b/entry/src/span_export.rs
@@ -1,4 +1,4 @@
-//! Writes ended spans as JSON lines.
+//! Exports ended spans as JSON lines.
 
 use std::fmt;
 use std::fs::OpenOptions;
@@ -21,12 +21,12 @@
 use serde_json::Map;
 use serde_json::Value;
 
-/// Writes each span as one JSON object on one line.
+/// Exports each span as one JSON object on one line.
 pub(crate) struct JsonLinesExporter {
     output: Mutex<Box<dyn Write + Send>>,
 }
 
-/// A file for spans that cannot be opened.
+/// Why the file for spans cannot be opened.
 #[derive(Debug, Display, Error)]
 #[display("open trace output {}: {source}", file.display())]
 pub struct SpanExportError {
@@ -34,6 +34,7 @@
     source: io::Error,
 }
 
+/// The JSON object of one span.
 #[derive(Serialize)]
 struct SpanLine {
     trace_id: String,
--- a/entry/src/spans.rs
+++ b/entry/src/spans.rs
@@ -1,4 +1,4 @@
-//! Spans for each hop of a request, under the caller's W3C trace.
+//! Tracing spans for each hop of a request, within the caller's W3C trace.
 
 use std::sync::Arc;
 
@@ -22,20 +22,20 @@
 use crate::span_export::JsonLinesExporter;
 use crate::span_export::SpanExportError;
 
-/// One hop of a request on its way.
+/// One hop on the path of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Hop {
-    /// A caller's request at the entry instance that took it.
+    /// A caller's request at the entry instance that received it.
     Caller,
     /// A job at its home.
     Home,
-    /// A message to another entry instance until its answer.
+    /// A message to another entry instance, until its answer.
     Forward,
-    /// One start of a task at an upstream.
+    /// One attempt to run a task at an upstream.
     Attempt,
 }
 
-/// Starts spans, or none when the settings ask for none.
+/// Starts spans; when the settings disable them, only the trace context is propagated.
 #[derive(Clone)]
 pub(crate) struct Spans {
     tracer: Option<SdkTracer>,
@@ -50,7 +50,7 @@
 }
 
 impl Spans {
-    /// Spans written where the settings say.
+    /// Creates the exporter that the settings select.
     pub(crate) fn new(settings: &Settings) -> Result<Self, SpanExportError> {
         let instance = Arc::from(settings.instance.as_str());
         let exporter = match &settings.trace_output {
@@ -73,12 +73,12 @@
         })
     }
 
-    /// Whether spans are written at all.
+    /// Returns whether spans are recorded.
     pub(crate) fn is_recording(&self) -> bool {
         self.tracer.is_some()
     }
 
-    /// Starts the span of a hop below the span that `parent` names.
+    /// Starts the span of a hop as child of the span in `parent`, a `traceparent`.
     pub(crate) fn start(&self, hop: Hop, parent: Option<&str>) -> HopSpan {
         let span = self
             .tracer
@@ -108,7 +108,7 @@
             .start_with_context(tracer, &context)
     }
 
-    /// Writes out the spans that are still held back.
+    /// Writes the buffered spans and stops recording.
     pub(crate) fn flush(&self) {
         if let Some(provider) = &self.provider
             && let Err(error) = provider.shutdown()
@@ -119,14 +119,15 @@
 }
 
 impl HopSpan {
-    /// Adds an attribute.
+    /// Sets an attribute.
     pub(crate) fn set(&mut self, name: &'static str, value: &str) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new(name, value.to_owned()));
         }
     }
 
-    /// The `traceparent` for the next hop: this span's own, or the one passed on.
+    /// Returns the `traceparent` for the next hop: that of this span, or of its parent when spans are
+    /// not recorded.
     pub(crate) fn traceparent(&self) -> Option<Arc<str>> {
         match &self.span {
             Some(span) => Some(Arc::from(format_traceparent(span.span_context()))),
@@ -156,7 +157,7 @@
 const TRACE_ID_DIGITS: usize = 32;
 const SPAN_ID_DIGITS: usize = 16;
 
-/// The span that a W3C `traceparent` names; none when it is malformed.
+/// Parses a W3C `traceparent`; none when it is malformed.
 pub(crate) fn parse_traceparent(text: &str) -> Option<SpanContext> {
     let mut parts = text.split('-');
     let version = parts.next().filter(|part| is_hex(part, 2))?;
--- a/entry/src/stopping.rs
+++ b/entry/src/stopping.rs
@@ -1,10 +1,10 @@
-//! Whether the process was asked to stop.
+//! The flag that the process was asked to stop.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 use std::sync::atomic::Ordering;
 
-/// Whether the process was asked to stop; clones share it.
+/// A flag that is set once the process is asked to stop; clones share it.
 #[derive(Clone, Default)]
 pub(crate) struct Stopping(Arc<AtomicBool>);
 
--- a/entry/src/timer.rs
+++ b/entry/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service of the process, to which its parts subscribe.
+//! The timer service of the process.
 
 use std::time::Duration;
 
@@ -7,13 +7,13 @@
 
 use crate::clock::Clock;
 
-/// Wakes parts of the process at points on its clock.
+/// Waits for times on the clock of the process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TimerService {
     clock: Clock,
 }
 
-/// A subscription to a point that comes again and again.
+/// A periodic timer.
 #[derive(Debug)]
 pub(crate) struct Ticks {
     clock: Clock,
@@ -26,7 +26,7 @@
         TimerService { clock }
     }
 
-    /// Ends at `timestamp`, or never when there is none.
+    /// Returns at `timestamp`, or never when there is none.
     pub(crate) async fn at(&self, timestamp: Option<Timestamp>) {
         match timestamp {
             Some(timestamp) => {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A subscription whose first point is now and whose others follow at `period`.
+    /// Creates a timer that ticks now and then every `period`.
     pub(crate) fn every(&self, period: Duration) -> Ticks {
         Ticks {
             clock: self.clock,
@@ -47,7 +47,7 @@
 }
 
 impl Ticks {
-    /// Ends at the next point; points missed meanwhile are left out.
+    /// Returns at the next tick; missed ticks are skipped.
     pub(crate) async fn next(&mut self) {
         Timer::at(self.clock.instant(self.next)).await;
         let now = self.clock.now();
--- a/entry/src/wall_clock.rs
+++ b/entry/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Readings of the wall clock for the dispatcher.
+//! Reports the wall clock to the dispatcher.
 
 use std::time::Duration;
 use std::time::SystemTime;
@@ -9,11 +9,11 @@
 use crate::driver_handle::DriverHandle;
 use crate::timer::TimerService;
 
-const PERIOD: Duration = Duration::from_secs(1);
+const REPORT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Hands over a reading every second.
+/// Sends the time of the wall clock to the driver every [`REPORT_PERIOD`].
 pub(crate) async fn report(timer: TimerService, driver: DriverHandle) {
-    let mut ticks = timer.every(PERIOD);
+    let mut ticks = timer.every(REPORT_PERIOD);
     loop {
         ticks.next().await;
         let unix_ms = unix_ms();
@@ -21,7 +21,7 @@
     }
 }
 
-/// Milliseconds since the Unix epoch.
+/// Returns the milliseconds since the Unix epoch.
 pub(crate) fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
