--- a/entry/examples/small_site.rs
+++ b/entry/examples/small_site.rs
@@ -1,8 +1,8 @@
 //! Runs a small site on this machine: entry processes in two data centres, with stand-ins for the
 //! upstreams and the platform.
 //!
-//! It submits a job through an entry that is not the job's home, prints the answer and the addresses
-//! of the site, and ends; with `--stay` it runs until standard input closes.
+//! It submits a job through an entry that is not the job's home, prints the answer and the
+//! addresses of the site, and ends; with `--stay` it runs until standard input closes.
 
 use std::error::Error;
 use std::fs;
--- a/entry/src/clock.rs
+++ b/entry/src/clock.rs
@@ -27,8 +27,8 @@
         Timestamp::from_us(boot_time_us().saturating_sub(self.started_at_us))
     }
 
-    /// Returns the instant at which this clock reaches `timestamp`, provided that the machine is not
-    /// suspended meanwhile.
+    /// Returns the instant at which this clock reaches `timestamp`, unless the machine is suspended
+    /// meanwhile.
     pub(crate) fn instant(&self, timestamp: Timestamp) -> Instant {
         let left = timestamp.since(self.now());
         let now = Instant::now();
--- a/entry/src/guarded_transport.rs
+++ b/entry/src/guarded_transport.rs
@@ -1,4 +1,4 @@
-//! Limits on callers' connections: their number, their idle time and the bytes sent before an answer.
+//! Limits on callers' connections: their number, idle time and bytes received before an answer.
 
 use std::any::Any;
 use std::borrow::Cow;
--- a/entry/src/hop_tracker.rs
+++ b/entry/src/hop_tracker.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Begins and ends spans for an outgoing message; sets the span as parent of the message's tasks.
+    /// Begins and ends spans for an outgoing message; sets the span as parent of its tasks.
     pub(crate) fn before_send(&mut self, instance: &Arc<str>, message: &mut PeerMessage) {
         if !self.spans.is_recording() {
             return;
--- a/entry/src/metrics.rs
+++ b/entry/src/metrics.rs
@@ -21,6 +21,7 @@
 #[derive(Clone)]
 pub(crate) struct Metrics(Arc<Inner>);
 
+/// The registry and the metrics registered in it.
 struct Inner {
     registry: Registry,
     answers: IntCounterVec,
@@ -38,6 +39,7 @@
     siblings: IntGauge,
 }
 
+/// Upper bounds of the buckets of request times, in seconds.
 const REQUEST_BUCKETS_SECONDS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
--- a/entry/src/reload.rs
+++ b/entry/src/reload.rs
@@ -40,7 +40,7 @@
                 settings = new;
             }
             Err(error) => {
-                tracing::warn!(file = %file.display(), %error, "changed settings not valid: the earlier settings stay in effect");
+                tracing::warn!(file = %file.display(), %error, "changed settings ignored");
             }
         }
         text = Some(read);
--- a/entry/src/run_api.rs
+++ b/entry/src/run_api.rs
@@ -100,8 +100,8 @@
     match decode_job(&body) {
         Ok(job) => Ok(RequestKind::Submit(Arc::new(job))),
         Err(error) => {
-            tracing::warn!(path = conn.path(), %error, "request refused: its body is not a valid job");
-            Err(Refusal::field("body", "is not a valid job"))
+            tracing::warn!(path = conn.path(), %error, "request refused: its body is not a job");
+            Err(Refusal::field("body", "is not a job"))
         }
     }
 }
--- a/entry/src/run_driver.rs
+++ b/entry/src/run_driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns the dispatcher of leased runs: it feeds in events and carries out the actions.
+//! The task that owns the dispatcher of leased runs: feeds in events and carries out the actions.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -229,12 +229,8 @@
         let store = Arc::clone(&self.effects.store);
         executor::spawn(async move {
             match RosterSession::remove(&store, &name, row_version).await {
-                Ok(outcome) => {
-                    tracing::info!(instance = %name, ?outcome, "removal of an instance from the roster")
-                }
-                Err(error) => {
-                    tracing::warn!(instance = %name, %error, "instance not removed from the roster")
-                }
+                Ok(outcome) => tracing::info!(instance = %name, ?outcome, "removal of an instance"),
+                Err(error) => tracing::warn!(instance = %name, %error, "instance not removed"),
             }
         });
     }
--- a/entry/src/run_handle.rs
+++ b/entry/src/run_handle.rs
@@ -56,7 +56,7 @@
             event: event(request),
             reply,
         };
-        // When the driver has ended, the answer's channel is closed, so the request ends unanswered.
+        // Fails when the driver has ended: then the channel is closed and the request unanswered.
         self.commands.try_send(command).ok();
         OpenRunRequest {
             request,
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -23,6 +23,7 @@
 #[derive(Clone)]
 pub(crate) struct RunMetrics(Arc<Inner>);
 
+/// The registry and the metrics registered in it.
 struct Inner {
     registry: Registry,
     answers: IntCounterVec,
@@ -34,6 +35,7 @@
     decisions: DecisionMetrics,
 }
 
+/// Upper bounds of the buckets of answer and order times, in seconds.
 const BUCKETS_SECONDS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.6, 3.0, 6.0, 12.0,
 ];
--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -66,7 +66,7 @@
 /// How long a stopping process waits until its row in the roster is deleted.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Runs a process until it is asked to stop and nothing is open any more, or its stop grace is over.
+/// Runs a process until it is asked to stop and nothing is open any more or its stop grace is over.
 pub(crate) async fn run_leased(
     settings: Settings,
     leased: LeasedRuns,
@@ -230,7 +230,7 @@
     Arc::new(move |event| handle.send(event))
 }
 
-/// Returns the peer key of the settings, else the one kept in the store, which is retried until read.
+/// Returns the peer key of the settings, else the one in the store; retries until it is read.
 async fn shared_key(store: &StoreClient, settings: &Settings) -> Bytes {
     if !settings.peer_key.expose().is_empty() {
         return Bytes::copy_from_slice(settings.peer_key.expose());
--- a/entry/src/settings.rs
+++ b/entry/src/settings.rs
@@ -41,7 +41,7 @@
     pub log_filter: String,
     /// Where spans are written.
     pub trace_output: TraceOutput,
-    /// How long a stopping process reports itself as not ready before it closes its listeners, in ms.
+    /// How long a stopping process reports not ready before it closes its listeners, in ms.
     pub stop_notice_ms: u64,
     /// How the process calls the platform.
     pub platform: PlatformSettings,
@@ -176,8 +176,8 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] when the text is not valid JSON with comments, or has problems, all of which
-    /// are reported at once.
+    /// [`SettingsError`] when the text is not valid JSON with comments, or has problems, which are
+    /// reported all at once.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let value = jsonc_parser::parse_to_serde_value::<Value>(text, &Default::default());
         let value = value.map_err(|error| SettingsError::Syntax {
--- a/entry/src/spans.rs
+++ b/entry/src/spans.rs
@@ -126,8 +126,8 @@
         }
     }
 
-    /// Returns the `traceparent` for the next hop: that of this span, or of its parent when spans are
-    /// not recorded.
+    /// Returns the `traceparent` for the next hop: that of this span, or of its parent when spans
+    /// are not recorded.
     pub(crate) fn traceparent(&self) -> Option<Arc<str>> {
         match &self.span {
             Some(span) => Some(Arc::from(format_traceparent(span.span_context()))),
--- a/entry/src/timer.rs
+++ b/entry/src/timer.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Creates a timer that ticks now and then every `period`.
+    /// Creates a timer whose first tick is now and whose later ticks follow every `period`.
     pub(crate) fn every(&self, period: Duration) -> Ticks {
         Ticks {
             clock: self.clock,
--- a/entry/src/upstream_client.rs
+++ b/entry/src/upstream_client.rs
@@ -37,7 +37,7 @@
 /// The header by which an upstream's guard declares that the named task did not run.
 pub const TASK_NOT_RUN: &str = "task-not-run";
 
-/// The header that states how long the sender of a task still waits for the answer, in milliseconds.
+/// The header that states how long the sender of a task still waits, in milliseconds.
 pub const TASK_TIMEOUT_MS: &str = "task-timeout-ms";
 
 const TRACEPARENT: &str = "traceparent";
@@ -97,7 +97,7 @@
         end
     }
 
-    /// Asks an upstream to stop tasks; whether they stopped is reported by the ends of their attempts.
+    /// Asks an upstream to stop tasks; the ends of their attempts report whether they stopped.
     pub(crate) async fn stop(&self, target: &UpstreamTarget, tasks: &[TaskId]) {
         let stop = StopRequest {
             task_ids: tasks.iter().map(ToString::to_string).collect(),
