--- a/entry/src/metrics.rs
+++ b/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of the process.
+//! The metrics of a process that dispatches tasks over HTTP.
 
 use std::sync::Arc;
 
@@ -21,6 +21,7 @@
 #[derive(Clone)]
 pub(crate) struct Metrics(Arc<Inner>);
 
+/// The registry and the metrics registered in it.
 struct Inner {
     registry: Registry,
     answers: IntCounterVec,
@@ -38,6 +39,7 @@
     siblings: IntGauge,
 }
 
+/// Upper bounds of the buckets of request times, in seconds.
 const REQUEST_BUCKETS_SECONDS: [f64; 12] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0,
 ];
@@ -118,7 +120,7 @@
         self.0.claims.with_label_values(&[end]).inc();
     }
 
-    /// The text of a scrape, with the gauges set by `status`.
+    /// Returns the text of a scrape, after updating the metrics from `status` and `peers`.
     pub(crate) fn scrape(
         &self,
         status: &DriverStatus,
@@ -131,7 +133,7 @@
         Ok(text)
     }
 
-    /// Brings the counters of messages up to those of the transport and the dispatcher.
+    /// Raises the counters of messages to the counts of the transport and the dispatcher.
     fn copy_counters(&self, status: &DriverStatus, peers: &PeerCounters) {
         for count in PeerCount::ALL {
             let counter = self.0.peer_messages.with_label_values(&[count.label()]);
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, histograms and gauges of leased runs.
+//! The metrics of a process that dispatches leased runs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,6 +23,7 @@
 #[derive(Clone)]
 pub(crate) struct RunMetrics(Arc<Inner>);
 
+/// The registry and the metrics registered in it.
 struct Inner {
     registry: Registry,
     answers: IntCounterVec,
@@ -34,6 +35,7 @@
     decisions: DecisionMetrics,
 }
 
+/// Upper bounds of the buckets of answer and order times, in seconds.
 const BUCKETS_SECONDS: [f64; 16] = [
     0.001, 0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.6, 3.0, 6.0, 12.0,
 ];
@@ -98,7 +100,7 @@
         })))
     }
 
-    /// Counts an answer.
+    /// Counts an answer and the time that it took.
     pub(crate) fn count_answer(&self, answer: &RunAnswer, took: Duration) {
         self.count_outcome(answer_name(answer), took);
         if let RunAnswer::NotRun { reason, .. } = answer {
@@ -107,8 +109,8 @@
         }
     }
 
-    /// Counts a caller who left before the answer.
-    pub(crate) fn count_left(&self, took: Duration) {
+    /// Counts a request whose caller left before the answer, and the time until then.
+    pub(crate) fn count_caller_left(&self, took: Duration) {
         self.count_outcome("caller_left", took);
     }
 
@@ -119,7 +121,7 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// Counts an order and what came back.
+    /// Counts an order by its answer, and the time that the answer took.
     pub(crate) fn count_order(&self, order: &RunOrder, answer: &OrderAnswer, took: Duration) {
         let metrics = &self.0;
         let kind = order_name(order);
@@ -131,7 +133,7 @@
         seconds.observe(took.as_secs_f64());
     }
 
-    /// The text of a scrape, with the gauges set by `status`.
+    /// Returns the text of a scrape, after updating the metrics from `status`.
     pub(crate) fn scrape(&self, status: &RunStatus) -> Result<Vec<u8>, prometheus::Error> {
         self.set_gauges(status);
         self.0.decisions.copy(&status.counts);
--- a/entry/tests/settings_check.rs
+++ b/entry/tests/settings_check.rs
@@ -121,7 +121,7 @@
             .output()?;
         assert_eq!(output.status.code(), Some(code), "{output:?}");
         let errors = String::from_utf8(output.stderr)?;
-        assert_eq!(errors.contains("/x: is no known setting"), code == 2);
+        assert_eq!(errors.contains("/x: is not a known setting"), code == 2);
     }
     Ok(())
 }
