--- a/ctl/src/console.rs
+++ b/ctl/src/console.rs
@@ -1,4 +1,4 @@
-//! The console: the document as forms, rendered on this side.
+//! The console: a web server that renders the document as HTML forms and edits a draft of it.
 
 mod draft;
 mod field;
--- a/ctl/src/console/draft.rs
+++ b/ctl/src/console/draft.rs
@@ -1,4 +1,4 @@
-//! The document as it is being edited.
+//! The draft: the document as edited in the console.
 
 use almondhead_lib::check::Problem;
 use almondhead_lib::check::check_document;
@@ -18,12 +18,12 @@
 use super::field::FieldKind;
 use super::form_values::FormValues;
 use super::section::Section;
-use super::utc_input::from_input;
-use super::utc_input::to_input;
+use super::utc_input::parse_input_value;
+use super::utc_input::to_input_value;
 use crate::error::CtlError;
 
-/// What a draft starts from where no document was accepted yet.
-const FIRST_TEXT: &str = "\
+/// The text of a draft when no document was accepted yet.
+const EMPTY_DOCUMENT: &str = "\
 {
   \"firm\": \"\",
   \"data_centres\": [],
@@ -34,27 +34,27 @@
 }
 ";
 
-/// What a browser sends for a checked box.
+/// The value that a browser sends for a checked checkbox.
 const CHECKED: &str = "on";
 
-/// A text that is being edited, and the accepted revision that it was made from.
+/// The text of a document that is being edited, and the accepted revision that it started from.
 pub(crate) struct Draft {
-    /// The head that it was made from; none before the first document.
+    /// The head of the revision that it started from; `None` before the first document.
     pub(crate) base: Option<Head>,
-    /// The text as it is now.
+    /// The current text, JSON with comments.
     pub(crate) text: String,
-    /// A number that grows with each change, by which outdated forms are told.
+    /// Incremented by each change, so that forms rendered before it are detected.
     pub(crate) edition: u64,
     base_text: String,
 }
 
 impl Draft {
-    /// A draft of the newest accepted document.
-    pub(crate) async fn newest(store: &DocumentStore, edition: u64) -> Result<Self, CtlError> {
+    /// Loads the newest accepted document as a draft.
+    pub(crate) async fn load_newest(store: &DocumentStore, edition: u64) -> Result<Self, CtlError> {
         let base = store.head().await?;
         let base_text = match &base {
             Some(head) => store.load(head).await?,
-            None => FIRST_TEXT.to_owned(),
+            None => EMPTY_DOCUMENT.to_owned(),
         };
         let text = base_text.clone();
         Ok(Draft {
@@ -65,41 +65,41 @@
         })
     }
 
-    /// Takes note that the text was accepted under a head.
-    pub(crate) fn accepted(&mut self, head: Head) {
+    /// Records that the text was accepted as the revision of `head`.
+    pub(crate) fn record_accepted(&mut self, head: Head) {
         self.base = Some(head);
         self.base_text = self.text.clone();
     }
 
-    /// The revision that it was made from; 0 for none.
+    /// Returns the revision that the draft started from; 0 for none.
     pub(crate) fn base_revision(&self) -> u64 {
         self.base.as_ref().map_or(0, |head| head.revision)
     }
 
-    /// Whether anything was edited.
+    /// Whether the text differs from its base.
     pub(crate) fn is_edited(&self) -> bool {
         self.text != self.base_text
     }
 
-    /// The faults of the text as it is now.
+    /// Returns the problems of the current text.
     pub(crate) fn problems(&self) -> Vec<Problem> {
         check_document(&self.text).err().unwrap_or_default()
     }
 
-    /// What was edited; none while either text has faults.
+    /// Returns the changes from the base; `None` while either text has problems.
     pub(crate) fn changes(&self) -> Option<Vec<Change>> {
         let before = check_document(&self.base_text).ok()?;
         let after = check_document(&self.text).ok()?;
         Some(document_changes(&before, &after))
     }
 
-    /// The value at a JSON pointer; null where there is none.
+    /// Returns the value at a JSON pointer; null where there is none.
     pub(crate) fn value(&self, pointer: &str) -> Json {
         let values = read_values(&self.text).unwrap_or_default();
         values.pointer(pointer).cloned().unwrap_or_default()
     }
 
-    /// The elements of a list.
+    /// Returns the elements of a list; empty where the document has no such list.
     pub(crate) fn elements(&self, section: Section) -> Vec<Json> {
         match self.value(&section.pointer()) {
             Json::Array(elements) => elements,
@@ -107,10 +107,12 @@
         }
     }
 
-    /// The names of the elements of a list.
+    /// Returns the names of the elements of a list.
     pub(crate) fn names(&self, section: Section) -> Vec<String> {
         let elements = self.elements(section);
-        let names = elements.iter().filter_map(|one| one["name"].as_str());
+        let names = elements
+            .iter()
+            .filter_map(|element| element["name"].as_str());
         names.map(str::to_owned).collect()
     }
 
@@ -118,7 +120,7 @@
     pub(crate) fn append(&mut self, section: Section) -> Result<usize, EditError> {
         let index = self.elements(section).len();
         if self.value(&section.pointer()).is_null() {
-            self.text = set_field(&self.text, "", section.list(), Some(&json!([])))?;
+            self.text = set_field(&self.text, "", section.key(), Some(&json!([])))?;
         }
         self.text = append_element(&self.text, &section.pointer(), &json!({}))?;
         Ok(index)
@@ -138,10 +140,10 @@
         Ok(())
     }
 
-    /// Sets the fields of the object at a pointer that the form changed, as entered.
+    /// Sets the fields of the object at a pointer whose values the form changed.
     ///
-    /// What is no value of its field's type is kept as a string, so that the checker tells it and
-    /// the form shows it again.
+    /// Input that does not parse as its field's type is stored as a string, so that the check reports
+    /// it and the form shows it again.
     pub(crate) fn apply(
         &mut self,
         pointer: &str,
@@ -157,7 +159,7 @@
             if entered == shown_value(field, &object) {
                 continue;
             }
-            let value = json_of(field, &entered);
+            let value = entered_json(field, &entered);
             self.text = set_field(&self.text, pointer, &field.key, value.as_ref())?;
         }
         self.apply_distances(pointer, &object, fields, values)
@@ -178,7 +180,7 @@
             };
             let entered = entered_value(field, values);
             changed |= entered != shown_value(field, object);
-            if let Some(one_way_us) = json_of(field, &entered) {
+            if let Some(one_way_us) = entered_json(field, &entered) {
                 distances.push(json!({"to": to, "one_way_us": one_way_us}));
             }
         }
@@ -190,7 +192,7 @@
     }
 }
 
-/// The value of a field as its form element shows it.
+/// Formats the value of a field as the value of its form control.
 pub(crate) fn shown_value(field: &Field, object: &Json) -> String {
     let value = match &field.kind {
         FieldKind::Distance { to } => distance_to(object, to),
@@ -199,9 +201,9 @@
     match (value.unwrap_or(&field.default), &field.kind) {
         (Json::Null, _) | (Json::Bool(false), FieldKind::Flag) => String::new(),
         (Json::Bool(true), FieldKind::Flag) => CHECKED.to_owned(),
-        (Json::Number(number), FieldKind::Time) => {
-            number.as_u64().map_or_else(|| number.to_string(), to_input)
-        }
+        (Json::Number(number), FieldKind::Time) => number
+            .as_u64()
+            .map_or_else(|| number.to_string(), to_input_value),
         (Json::String(text), _) => text.clone(),
         (value, _) => value.to_string(),
     }
@@ -218,8 +220,8 @@
     entered.trim().to_owned()
 }
 
-/// The JSON of what was entered; none for an empty field.
-fn json_of(field: &Field, entered: &str) -> Option<Json> {
+/// Converts the input of a field to JSON; `None` for an empty field.
+fn entered_json(field: &Field, entered: &str) -> Option<Json> {
     if let FieldKind::Flag = field.kind {
         return Some(Json::from(entered == CHECKED));
     }
@@ -228,7 +230,7 @@
     }
     let number = match field.kind {
         FieldKind::Number { .. } | FieldKind::Distance { .. } => entered.parse().ok(),
-        FieldKind::Time => from_input(entered),
+        FieldKind::Time => parse_input_value(entered),
         _ => None,
     };
     Some(number.map_or_else(|| Json::from(entered), |number: u64| Json::from(number)))
--- a/ctl/src/console/field.rs
+++ b/ctl/src/console/field.rs
@@ -1,4 +1,4 @@
-//! The fields of a form, taken from the JSON Schema of the document.
+//! The fields of a form, derived from the JSON Schema of the document.
 
 use std::sync::LazyLock;
 
@@ -13,29 +13,29 @@
 
 static SCHEMA: LazyLock<Json> = LazyLock::new(document_schema);
 
-/// How the value of a field is entered.
+/// The type of a field's value, which selects its form control.
 #[value]
 pub(crate) enum FieldKind {
     /// Free text.
     Text,
-    /// A whole number within bounds.
+    /// An unsigned integer within bounds.
     Number {
-        /// The smallest value.
+        /// The minimum.
         min: u64,
-        /// The largest value; absent where only the type bounds it.
+        /// The maximum; absent where only the type bounds it.
         max: Option<u64>,
     },
-    /// Yes or no.
+    /// A boolean.
     Flag,
-    /// A time of the calendar.
+    /// A time in milliseconds since the Unix epoch, shown as a date and time in UTC.
     Time,
-    /// One of a few values.
+    /// One of these values.
     Choice(Vec<String>),
-    /// The name of an element of another list.
+    /// The name of an element of this list.
     Reference(Section),
-    /// The one-way time to another data centre, in microseconds.
+    /// The one-way network time to another data centre, in microseconds.
     Distance {
-        /// The other data centre.
+        /// The name of the other data centre.
         to: String,
     },
 }
@@ -43,24 +43,26 @@
 /// One field of a form.
 #[value]
 pub(crate) struct Field {
-    /// The key in the object; for a distance a key of the form alone.
+    /// The key in the object; for a distance `distance:NAME`, a key of the form only.
     pub(crate) key: String,
     /// The label.
     pub(crate) label: String,
-    /// What the field means.
+    /// The help text.
     pub(crate) help: String,
-    /// How its value is entered.
+    /// The type of the value.
     pub(crate) kind: FieldKind,
-    /// Whether the document must have it.
+    /// Whether the key must be present in the object.
     pub(crate) required: bool,
-    /// What holds when it is absent.
+    /// The default that applies when the key is absent.
     pub(crate) default: Json,
 }
 
-/// The fields of the elements of a list; distances are given for each other data centre.
+/// Returns the fields of an element of a list.
+///
+/// A data centre has a distance field for each of `other_data_centres`.
 pub(crate) fn element_fields(section: Section, other_data_centres: &[String]) -> Vec<Field> {
-    let list = &SCHEMA["properties"][section.list()];
-    let mut fields = fields_of(resolved(&list["items"]));
+    let list = &SCHEMA["properties"][section.key()];
+    let mut fields = fields_of(resolve_reference(&list["items"]));
     if section == Section::DataCentres {
         let distances = other_data_centres.iter().map(|to| distance_field(to));
         fields.extend(distances);
@@ -68,17 +70,17 @@
     fields
 }
 
-/// The fields of the document itself that are no lists.
+/// Returns the fields of the document's top level that hold neither lists nor objects.
 pub(crate) fn site_fields() -> Vec<Field> {
     fields_of(&SCHEMA)
 }
 
-/// The fields of the policies.
+/// Returns the fields of the policies.
 pub(crate) fn policy_fields() -> Vec<Field> {
-    fields_of(resolved(&SCHEMA["properties"]["policies"]))
+    fields_of(resolve_reference(&SCHEMA["properties"]["policies"]))
 }
 
-/// Required fields come first, in the order of the type.
+/// Returns the fields of a schema's properties, the required ones first, each group in schema order.
 fn fields_of(definition: &'static Json) -> Vec<Field> {
     let Some(properties) = definition["properties"].as_object() else {
         return Vec::new();
@@ -94,9 +96,9 @@
         .collect()
 }
 
-/// A field; none for values that a form of one element doesn't hold.
+/// Returns the field of a property; `None` for lists and objects, which have no form control.
 fn field(key: &str, property: &'static Json, required: bool) -> Option<Field> {
-    let kind = kind_of(key, resolved(property))?;
+    let kind = kind_of(key, resolve_reference(property))?;
     Some(Field {
         key: key.to_owned(),
         label: label_of(key),
@@ -148,7 +150,7 @@
     }
 }
 
-fn resolved(schema: &'static Json) -> &'static Json {
+fn resolve_reference(schema: &'static Json) -> &'static Json {
     match schema["$ref"].as_str() {
         Some(reference) => &SCHEMA["$defs"][reference.trim_start_matches(DEFINITION_PREFIX)],
         None => schema,
--- a/ctl/src/console/form.rs
+++ b/ctl/src/console/form.rs
@@ -1,4 +1,4 @@
-//! A form for one object of the document.
+//! The HTML form for one object of the document.
 
 use almondhead_lib::check::Problem;
 use serde_json::Value as Json;
@@ -9,15 +9,17 @@
 use super::field::FieldKind;
 use super::html::escape;
 
-/// The name of the field that carries the console's token.
+/// The name of the hidden field with the console's token.
 pub(crate) const TOKEN_FIELD: &str = "token";
 
-/// The name of the field that carries the draft's edition.
+/// The name of the hidden field with the draft's edition.
 pub(crate) const EDITION_FIELD: &str = "edition";
 
-/// What a form carries to prove that it is the console's own and not outdated.
+/// The values of the hidden fields of every form.
+///
+/// The token protects against cross-site request forgery, the edition against outdated forms.
 #[derive(Clone, Copy)]
-pub(crate) struct FormSeal<'f> {
+pub(crate) struct HiddenFields<'f> {
     /// The console's token.
     pub(crate) token: &'f str,
     /// The draft's edition.
@@ -28,29 +30,29 @@
 pub(crate) struct Form<'f> {
     /// The draft that holds the object.
     pub(crate) draft: &'f Draft,
-    /// Where the object stands.
+    /// The JSON pointer of the object.
     pub(crate) pointer: String,
-    /// The fields.
+    /// The fields, in the order of display.
     pub(crate) fields: Vec<Field>,
-    /// Where the form is sent.
+    /// The path that the form is posted to.
     pub(crate) action: String,
-    /// What the form carries.
-    pub(crate) seal: FormSeal<'f>,
+    /// The values of the hidden fields.
+    pub(crate) hidden_fields: HiddenFields<'f>,
 }
 
-/// A fault at a field of the form.
+/// A problem of a field's value.
 struct FieldError<'f> {
     field: &'f Field,
     reason: String,
 }
 
 impl Form<'_> {
-    /// Whether any field has a fault.
+    /// Whether the value of any field has a problem.
     pub(crate) fn has_errors(&self) -> bool {
         !self.errors(&self.draft.value(&self.pointer)).is_empty()
     }
 
-    /// The form with its values, and its faults when they are to be shown.
+    /// Renders the form with its values, and with their problems if `show_errors` is set.
     pub(crate) fn to_html(&self, show_errors: bool) -> String {
         let object = self.draft.value(&self.pointer);
         let errors = match show_errors {
@@ -63,7 +65,7 @@
             .map(|field| self.field_html(field, &object, &errors))
             .collect();
         let summary = summary_html(&errors);
-        let open = form_open(&self.action, self.seal);
+        let open = form_open(&self.action, self.hidden_fields);
         format!("{summary}{open}{fields}<button>Keep in the draft</button></form>\n")
     }
 
@@ -77,7 +79,7 @@
         fields.collect()
     }
 
-    /// The field of a problem's path.
+    /// Returns the field that a problem's path belongs to.
     fn field_at(&self, path: &str, object: &Json) -> Option<&Field> {
         let inner = path.strip_prefix(&self.pointer)?.strip_prefix('/')?;
         let mut parts = inner.split('/');
@@ -148,10 +150,10 @@
     }
 }
 
-/// The start of a form that changes something.
-pub(crate) fn form_open(action: &str, seal: FormSeal<'_>) -> String {
-    let (action, token) = (escape(action), escape(seal.token));
-    let edition = seal.edition;
+/// Renders the opening tag of a form that posts to `action`, and its hidden fields.
+pub(crate) fn form_open(action: &str, hidden_fields: HiddenFields<'_>) -> String {
+    let (action, token) = (escape(action), escape(hidden_fields.token));
+    let edition = hidden_fields.edition;
     format!(
         "<form method=\"post\" action=\"{action}\" autocomplete=\"off\">\
          <input type=\"hidden\" name=\"{TOKEN_FIELD}\" value=\"{token}\">\
@@ -159,22 +161,22 @@
     )
 }
 
-/// A form that is one button.
-pub(crate) fn button_form(action: &str, seal: FormSeal<'_>, label: &str) -> String {
-    let open = form_open(action, seal);
+/// Renders a form that consists of one button.
+pub(crate) fn button_form(action: &str, hidden_fields: HiddenFields<'_>, label: &str) -> String {
+    let open = form_open(action, hidden_fields);
     format!(
         "{open}<button class=\"quiet\">{}</button></form>\n",
         escape(label)
     )
 }
 
-/// The id of a field's form element, without spaces.
+/// Returns the HTML id of a field's control, without whitespace.
 pub(crate) fn field_id(field: &Field) -> String {
     format!("f-{}", field.key.replace(char::is_whitespace, "_"))
 }
 
-/// The place of a problem among the console's pages; none where no form shows it.
-pub(crate) fn problem_address(problem: &Problem) -> Option<String> {
+/// Returns the link to the form control of a problem; `None` where no form shows it.
+pub(crate) fn problem_link(problem: &Problem) -> Option<String> {
     let mut parts = problem.path.split('/').skip(1);
     let (first, second, third) = (parts.next()?, parts.next(), parts.next());
     match (first, second, third) {
@@ -224,7 +226,7 @@
     )
 }
 
-/// A choice that also holds the present value when it is none of the names.
+/// Renders a select control of `names`, and of the current value where that is none of them.
 fn select_html(attributes: &str, names: &[String], shown: &str) -> String {
     let mut options = String::new();
     if !names.iter().any(|name| name == shown) {
--- a/ctl/src/console/form_values.rs
+++ b/ctl/src/console/form_values.rs
@@ -1,8 +1,8 @@
-//! The values that a browser sends with a form.
+//! Decoding of submitted form data.
 
 use indexmap::IndexMap;
 
-/// The decoded fields of a form, the last one of each name.
+/// The decoded fields of a form by name; of repeated names the last one counts.
 #[derive(Debug, Default)]
 pub(crate) struct FormValues(IndexMap<String, String>);
 
@@ -17,7 +17,7 @@
         FormValues(decoded.collect())
     }
 
-    /// The value of a field; none where the browser sent none, as for a box left unchecked.
+    /// Returns the value of a field; `None` where the browser sent none, as for an unchecked checkbox.
     pub(crate) fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
--- a/ctl/src/console/html.rs
+++ b/ctl/src/console/html.rs
@@ -1,4 +1,4 @@
-//! Pieces of HTML.
+//! The HTML frame of the console's pages, and escaping.
 
 use super::section::Section;
 
@@ -18,18 +18,18 @@
 .scroll{overflow-x:auto}table{border-collapse:collapse}th,td{text-align:left;padding:.3rem .7rem;border-bottom:1px solid #ccc;white-space:nowrap}\
 code{font-size:.95em;overflow-wrap:anywhere}";
 
-/// A page to be answered.
+/// An HTML page of the console.
 pub(crate) struct Page {
     /// The HTTP status.
     pub(crate) status: u16,
-    /// The heading and title.
+    /// The title, also shown as the heading, as plain text.
     pub(crate) title: String,
     /// The HTML below the heading.
     pub(crate) body: String,
 }
 
 impl Page {
-    /// A page with status 200.
+    /// Creates a page with status 200.
     pub(crate) fn new(title: impl Into<String>, body: String) -> Self {
         let title = title.into();
         let status = 200;
@@ -40,12 +40,12 @@
         }
     }
 
-    /// The page with another status.
+    /// Returns the page with another status.
     pub(crate) fn with_status(self, status: u16) -> Self {
         Page { status, ..self }
     }
 
-    /// The whole HTML text; `path` is the page's own, for the navigation.
+    /// Renders the whole page; `path` is its own path, which the navigation marks as current.
     pub(crate) fn to_html(&self, path: &str) -> String {
         let title = escape(&self.title);
         let navigation = navigation(path);
@@ -63,7 +63,7 @@
 
 fn navigation(path: &str) -> String {
     let lists = Section::ALL.into_iter().map(|section| {
-        let target = format!("/lists/{}", section.list());
+        let target = format!("/lists/{}", section.key());
         navigation_item(path, &target, section.title())
     });
     let first = [("/", "Draft"), ("/site", "Firm"), ("/policies", "Policies")];
@@ -80,17 +80,17 @@
     format!("<li><a href=\"{target}\"{current}>{title}</a></li>")
 }
 
-/// A text in which nothing is taken as HTML, also within a quoted attribute.
+/// Escapes a text for use as HTML content or within a quoted attribute.
 pub(crate) fn escape(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
-    for letter in text.chars() {
-        match letter {
+    for character in text.chars() {
+        match character {
             '&' => escaped.push_str("&amp;"),
             '<' => escaped.push_str("&lt;"),
             '>' => escaped.push_str("&gt;"),
             '"' => escaped.push_str("&quot;"),
             '\'' => escaped.push_str("&#39;"),
-            letter => escaped.push(letter),
+            character => escaped.push(character),
         }
     }
     escaped
--- a/ctl/src/console/labels.rs
+++ b/ctl/src/console/labels.rs
@@ -1,6 +1,6 @@
-//! Names of fields for people.
+//! Human-readable labels of fields.
 
-/// Units at the end of a key and how a label writes them.
+/// The unit suffixes of keys, and their form in labels.
 const UNITS: [(&str, &str); 6] = [
     ("_at_unix_ms", " at (UTC)"),
     ("_ms", " (ms)"),
@@ -10,7 +10,7 @@
     ("_percent", " (%)"),
 ];
 
-/// The label of a key: `max_deadline_ms` is `Max deadline (ms)`.
+/// Returns the label of a key: `Max deadline (ms)` for `max_deadline_ms`.
 pub(crate) fn label_of(key: &str) -> String {
     let unit = UNITS.iter().find(|(suffix, _)| key.ends_with(suffix));
     let (suffix, shown) = unit.copied().unwrap_or(("", ""));
--- a/ctl/src/console/pages.rs
+++ b/ctl/src/console/pages.rs
@@ -1,4 +1,4 @@
-//! The pages of the console that show more than one form.
+//! The console's pages other than the forms: draft, lists, review, submission and errors.
 
 use almondhead_lib::check::Problem;
 use almondhead_lib::document_diff::Change;
@@ -9,10 +9,10 @@
 use super::field::Field;
 use super::field::FieldKind;
 use super::field::element_fields;
-use super::form::FormSeal;
+use super::form::HiddenFields;
 use super::form::button_form;
 use super::form::form_open;
-use super::form::problem_address;
+use super::form::problem_link;
 use super::html::Page;
 use super::html::escape;
 use super::section::Section;
@@ -20,8 +20,8 @@
 use crate::history_command::head_line;
 use crate::submitting::SubmitReport;
 
-/// The state of the draft, and how much each part holds.
-pub(crate) fn draft_page(draft: &Draft, seal: FormSeal<'_>) -> Page {
+/// Renders the state of the draft, with the number of elements of each list.
+pub(crate) fn draft_page(draft: &Draft, hidden_fields: HiddenFields<'_>) -> Page {
     let from = match &draft.base {
         Some(head) => format!("Made from {}.", head_line(head)),
         None => "No document was accepted yet; this is the first one.".to_owned(),
@@ -30,25 +30,25 @@
         true => "It was edited and not submitted yet.",
         false => "Nothing was edited.",
     };
-    let faults = fault_count(&draft.problems());
+    let problem_count = problem_count_text(&draft.problems());
     let rows: String = Section::ALL
         .into_iter()
         .map(|section| section_row(draft, section))
         .collect();
     let discard = match draft.is_edited() {
-        true => button_form("/discard", seal, "Discard the edits"),
-        false => button_form("/discard", seal, "Load the newest revision"),
+        true => button_form("/discard", hidden_fields, "Discard the edits"),
+        false => button_form("/discard", hidden_fields, "Load the newest revision"),
     };
     let from = escape(&from);
     let body = format!(
-        "<p>{from} {state} {faults}</p>\n<table><thead><tr><th scope=\"col\">Part</th>\
+        "<p>{from} {state} {problem_count}</p>\n<table><thead><tr><th scope=\"col\">Part</th>\
          <th scope=\"col\">Count</th></tr></thead><tbody>{rows}</tbody></table>\n\
          <p><a href=\"/review\">Review and submit</a></p>\n{discard}"
     );
     Page::new("Draft", body)
 }
 
-/// The elements of a list, each with a link to its form.
+/// Renders the elements of a list, each with a link to its form.
 pub(crate) fn list_page(draft: &Draft, section: Section) -> Page {
     let fields = element_fields(section, &[]);
     let headings: String = fields
@@ -62,7 +62,7 @@
         .enumerate()
         .map(|(index, element)| element_row(section, index, element, &fields, &problems))
         .collect();
-    let (list, singular) = (section.list(), section.singular());
+    let (list, singular) = (section.key(), section.singular());
     let body = format!(
         "<p><a href=\"/lists/{list}/new\">Add a new {singular}</a></p>\n<div class=\"scroll\"><table>\
          <thead><tr>{headings}<th scope=\"col\">Faults</th></tr></thead><tbody>{rows}</tbody></table></div>\n"
@@ -70,19 +70,19 @@
     Page::new(section.title(), body)
 }
 
-/// The faults, or else the changes and the form that submits them.
-pub(crate) fn review_page(draft: &Draft, author: &str, seal: FormSeal<'_>) -> Page {
+/// Renders the problems of the draft or, if there are none, its changes and the submission form.
+pub(crate) fn review_page(draft: &Draft, author: &str, hidden_fields: HiddenFields<'_>) -> Page {
     let problems = draft.problems();
     if !problems.is_empty() {
         let items: String = problems.iter().map(problem_item).collect();
-        let count = fault_count(&problems);
+        let count = problem_count_text(&problems);
         let body = format!(
             "<div class=\"summary\"><p>{count} It can't be submitted.</p><ul>{items}</ul></div>\n"
         );
         return Page::new("Review and submit", body);
     }
     let changes = changes_html(draft.changes().as_deref(), draft.base_revision());
-    let open = form_open("/submit", seal);
+    let open = form_open("/submit", hidden_fields);
     let author = escape(author);
     let body = format!(
         "{changes}{open}\
@@ -96,8 +96,8 @@
     Page::new("Review and submit", body)
 }
 
-/// What became of a submission.
-pub(crate) fn submitted_page(report: &SubmitReport, seal: FormSeal<'_>) -> Page {
+/// Renders the result of a submission; status 409 when another one was accepted first.
+pub(crate) fn submitted_page(report: &SubmitReport, hidden_fields: HiddenFields<'_>) -> Page {
     match report {
         SubmitReport::Accepted { head, changes } => {
             let line = escape(&head_line(head));
@@ -116,7 +116,7 @@
             let changes = changes_html(changes.as_deref(), *expected_revision);
             let again = button_form(
                 "/discard",
-                seal,
+                hidden_fields,
                 "Discard the draft and load the newest revision",
             );
             let body = format!(
@@ -128,7 +128,7 @@
     }
 }
 
-/// An error that kept a page from being made.
+/// Renders an error with status 502.
 pub(crate) fn error_page(error: &CtlError) -> Page {
     let message = escape(&error.to_string());
     let body = format!(
@@ -138,7 +138,7 @@
 }
 
 fn section_row(draft: &Draft, section: Section) -> String {
-    let (list, title) = (section.list(), section.title());
+    let (list, title) = (section.key(), section.title());
     let count = draft.elements(section).len();
     format!("<tr><th scope=\"row\"><a href=\"/lists/{list}\">{title}</a></th><td>{count}</td></tr>")
 }
@@ -150,13 +150,13 @@
     fields: &[Field],
     problems: &[Problem],
 ) -> String {
-    let list = section.list();
+    let list = section.key();
     let pointer = format!("{}/{index}", section.pointer());
-    let inside = format!("{pointer}/");
+    let pointer_prefix = format!("{pointer}/");
     let own = problems
         .iter()
-        .filter(|problem| problem.path == pointer || problem.path.starts_with(&inside));
-    let faults: Vec<String> = own.map(|problem| escape(&problem.reason)).collect();
+        .filter(|problem| problem.path == pointer || problem.path.starts_with(&pointer_prefix));
+    let reasons: Vec<String> = own.map(|problem| escape(&problem.reason)).collect();
     let mut cells = String::new();
     for (column, field) in fields.iter().enumerate() {
         let shown = escape(&cell_text(field, element));
@@ -168,7 +168,7 @@
             _ => format!("<td>{shown}</td>"),
         };
     }
-    format!("<tr>{cells}<td>{}</td></tr>\n", faults.join("; "))
+    format!("<tr>{cells}<td>{}</td></tr>\n", reasons.join("; "))
 }
 
 fn cell_text(field: &Field, element: &Json) -> String {
@@ -184,16 +184,16 @@
 fn problem_item(problem: &Problem) -> String {
     let reason = escape(&problem.reason);
     let path = escape(&problem.path);
-    match problem_address(problem) {
-        Some(address) => {
-            let address = escape(&address);
-            format!("<li><a href=\"{address}\"><code>{path}</code></a>: {reason}</li>")
+    match problem_link(problem) {
+        Some(link) => {
+            let link = escape(&link);
+            format!("<li><a href=\"{link}\"><code>{path}</code></a>: {reason}</li>")
         }
         None => format!("<li><code>{path}</code>: {reason}</li>"),
     }
 }
 
-fn fault_count(problems: &[Problem]) -> String {
+fn problem_count_text(problems: &[Problem]) -> String {
     match problems.len() {
         0 => "It has no faults.".to_owned(),
         1 => "It has 1 fault.".to_owned(),
--- a/ctl/src/console/routes.rs
+++ b/ctl/src/console/routes.rs
@@ -1,4 +1,4 @@
-//! The addresses of the console and what is done at each.
+//! The URL paths of the console and their handlers.
 
 use almondhead_macros::value;
 
@@ -9,7 +9,7 @@
 use super::field::site_fields;
 use super::form::EDITION_FIELD;
 use super::form::Form;
-use super::form::FormSeal;
+use super::form::HiddenFields;
 use super::form::TOKEN_FIELD;
 use super::form::button_form;
 use super::form_values::FormValues;
@@ -26,7 +26,7 @@
 use crate::submitting::SubmitReport;
 use crate::submitting::submit_document;
 
-/// An address of the console.
+/// A URL path of the console.
 #[value]
 pub(crate) enum Route {
     /// The state of the draft.
@@ -35,32 +35,32 @@
     Site,
     /// The policies' form.
     Policies,
-    /// A list.
+    /// The elements of a list.
     List(Section),
     /// The form for a new element.
     New(Section),
     /// The form of an element, by its index.
     Element(Section, usize),
-    /// The removal of an element.
+    /// The removal of an element, by its index.
     Remove(Section, usize),
-    /// The review before submitting.
+    /// The problems or changes of the draft, and the submission form.
     Review,
     /// The submission.
     Submit,
-    /// Starting again from the newest revision.
+    /// The replacement of the draft by the newest revision.
     Discard,
 }
 
-/// What is answered.
+/// The response to a request.
 pub(crate) enum Reply {
     /// A page.
     Page(Page),
-    /// Another page to be read.
+    /// A redirect to this path.
     Redirect(String),
 }
 
 impl Route {
-    /// Reads a path; none for a page that there is not.
+    /// Parses a path; `None` where there is no such page.
     pub(crate) fn parse(path: &str) -> Option<Self> {
         let parts: Vec<&str> = path.split('/').skip(1).collect();
         Some(match parts.as_slice() {
@@ -82,17 +82,17 @@
 }
 
 impl Console {
-    /// Shows a page.
-    pub(crate) async fn show(&self, route: &Route) -> Reply {
-        let mut slot = self.draft.lock().await;
-        let draft = match self.loaded(&mut slot).await {
+    /// Handles a GET request for a page.
+    pub(crate) async fn show_page(&self, route: &Route) -> Reply {
+        let mut guard = self.draft.lock().await;
+        let draft = match self.load_draft(&mut guard).await {
             Ok(draft) => draft,
             Err(error) => return Reply::Page(error_page(&error)),
         };
         Reply::Page(match route {
-            Route::Draft => draft_page(draft, self.seal(draft)),
+            Route::Draft => draft_page(draft, self.hidden_fields(draft)),
             Route::List(section) => list_page(draft, *section),
-            Route::Review => review_page(draft, &self.author, self.seal(draft)),
+            Route::Review => review_page(draft, &self.author, self.hidden_fields(draft)),
             Route::Site | Route::Policies | Route::Element(..) => {
                 self.form_page(draft, route, true)
             }
@@ -103,27 +103,29 @@
         })
     }
 
-    /// Takes a form.
-    pub(crate) async fn change(&self, route: &Route, values: &FormValues) -> Reply {
+    /// Handles a POST request with form data.
+    ///
+    /// Refuses a form with a wrong token and, except for a discard, one with an outdated edition.
+    pub(crate) async fn handle_form(&self, route: &Route, values: &FormValues) -> Reply {
         if values.get(TOKEN_FIELD) != Some(self.token.as_str()) {
-            return refused(403, "The form is of another run of the console.");
+            return refusal(403, "The form is of another run of the console.");
         }
-        match self.try_change(route, values).await {
+        match self.try_handle_form(route, values).await {
             Ok(reply) => reply,
             Err(error) => Reply::Page(error_page(&error)),
         }
     }
 
-    async fn try_change(&self, route: &Route, values: &FormValues) -> Result<Reply, CtlError> {
-        let mut slot = self.draft.lock().await;
+    async fn try_handle_form(&self, route: &Route, values: &FormValues) -> Result<Reply, CtlError> {
+        let mut guard = self.draft.lock().await;
         if *route == Route::Discard {
-            let edition = slot.as_ref().map_or(0, |draft| draft.edition + 1);
-            *slot = Some(Draft::newest(&self.store, edition).await?);
+            let edition = guard.as_ref().map_or(0, |draft| draft.edition + 1);
+            *guard = Some(Draft::load_newest(&self.store, edition).await?);
             return Ok(Reply::Redirect("/".to_owned()));
         }
-        let draft = self.loaded(&mut slot).await?;
+        let draft = self.load_draft(&mut guard).await?;
         if values.get(EDITION_FIELD) != Some(draft.edition.to_string().as_str()) {
-            return Ok(refused(
+            return Ok(refusal(
                 409,
                 "The draft was changed since the form was loaded.",
             ));
@@ -133,35 +135,35 @@
             Route::Submit => self.submit(draft, values).await,
             Route::Remove(section, index) => {
                 draft.remove(section, index)?;
-                Ok(Reply::Redirect(format!("/lists/{}", section.list())))
+                Ok(Reply::Redirect(format!("/lists/{}", section.key())))
             }
             Route::New(section) => {
                 let index = draft.append(section)?;
-                self.keep(draft, &Route::Element(section, index), values)
+                self.apply_form(draft, &Route::Element(section, index), values)
             }
             Route::Policies => {
                 draft.ensure_policies()?;
-                self.keep(draft, route, values)
+                self.apply_form(draft, route, values)
             }
-            Route::Site | Route::Element(..) => self.keep(draft, route, values),
+            Route::Site | Route::Element(..) => self.apply_form(draft, route, values),
             Route::Draft | Route::List(..) | Route::Review | Route::Discard => {
                 Ok(Reply::Redirect("/".to_owned()))
             }
         }
     }
 
-    /// Keeps what was entered in the draft, and shows the form again where it has faults.
-    fn keep(
+    /// Applies the form data to the draft, and shows the form again if any value has a problem.
+    fn apply_form(
         &self,
         draft: &mut Draft,
         route: &Route,
         values: &FormValues,
     ) -> Result<Reply, CtlError> {
-        let place = FormPlace::new(draft, route);
-        draft.apply(&place.pointer, &place.fields, values)?;
-        let target = place.after.clone();
-        let faulty = place.form(draft, self.seal(draft)).has_errors();
-        Ok(match faulty {
+        let spec = FormSpec::new(draft, route);
+        draft.apply(&spec.pointer, &spec.fields, values)?;
+        let target = spec.redirect_to.clone();
+        let has_errors = spec.form(draft, self.hidden_fields(draft)).has_errors();
+        Ok(match has_errors {
             true => Reply::Page(self.form_page(draft, route, true).with_status(422)),
             false => Reply::Redirect(target),
         })
@@ -180,59 +182,67 @@
         };
         let report = submit_document(&self.store, document).await?;
         if let SubmitReport::Accepted { head, .. } = &report {
-            draft.accepted(head.clone());
+            draft.record_accepted(head.clone());
         }
-        Ok(Reply::Page(submitted_page(&report, self.seal(draft))))
+        Ok(Reply::Page(submitted_page(
+            &report,
+            self.hidden_fields(draft),
+        )))
     }
 
-    /// The draft, made from the newest revision when there is none yet.
-    async fn loaded<'d>(&self, slot: &'d mut Option<Draft>) -> Result<&'d mut Draft, CtlError> {
-        match slot {
+    /// Returns the draft, loading the newest revision when there is none yet.
+    async fn load_draft<'d>(
+        &self,
+        current: &'d mut Option<Draft>,
+    ) -> Result<&'d mut Draft, CtlError> {
+        match current {
             Some(draft) => Ok(draft),
-            None => Ok(slot.insert(Draft::newest(&self.store, 0).await?)),
+            None => Ok(current.insert(Draft::load_newest(&self.store, 0).await?)),
         }
     }
 
-    fn seal(&self, draft: &Draft) -> FormSeal<'_> {
-        FormSeal {
+    fn hidden_fields(&self, draft: &Draft) -> HiddenFields<'_> {
+        HiddenFields {
             token: &self.token,
             edition: draft.edition,
         }
     }
 
     fn form_page(&self, draft: &Draft, route: &Route, show_errors: bool) -> Page {
-        let place = FormPlace::new(draft, route);
+        let spec = FormSpec::new(draft, route);
         if let Route::Element(section, index) = route
             && *index >= draft.elements(*section).len()
         {
             let body = "<p>There is no such element in the draft.</p>\n";
-            return Page::new(place.title, body.to_owned()).with_status(404);
+            return Page::new(spec.title, body.to_owned()).with_status(404);
         }
-        let mut body = place.form(draft, self.seal(draft)).to_html(show_errors);
+        let mut body = spec
+            .form(draft, self.hidden_fields(draft))
+            .to_html(show_errors);
         if let Route::Element(section, index) = route {
-            let action = format!("/lists/{}/{index}/remove", section.list());
+            let action = format!("/lists/{}/{index}/remove", section.key());
             let label = format!("Remove this {} from the draft", section.singular());
-            body += &button_form(&action, self.seal(draft), &label);
+            body += &button_form(&action, self.hidden_fields(draft), &label);
         }
-        Page::new(place.title, body)
+        Page::new(spec.title, body)
     }
 }
 
-fn refused(status: u16, reason: &str) -> Reply {
+fn refusal(status: u16, reason: &str) -> Reply {
     let body = format!("<p role=\"alert\">{reason} Nothing was done. Load the page again.</p>\n");
     Reply::Page(Page::new("Not done", body).with_status(status))
 }
 
-/// What a route's form edits.
-struct FormPlace {
+/// The object that a route's form edits, and how the form is shown.
+struct FormSpec {
     title: String,
     pointer: String,
     fields: Vec<Field>,
     action: String,
-    after: String,
+    redirect_to: String,
 }
 
-impl FormPlace {
+impl FormSpec {
     fn new(draft: &Draft, route: &Route) -> Self {
         match *route {
             Route::New(section) => {
@@ -246,19 +256,19 @@
                 let title = format!("{name}, {}", section.singular());
                 Self::element(draft, section, index, &index.to_string(), title)
             }
-            Route::Policies => FormPlace {
+            Route::Policies => FormSpec {
                 title: "Policies".to_owned(),
                 pointer: "/policies".to_owned(),
                 fields: policy_fields(),
                 action: "/policies".to_owned(),
-                after: "/".to_owned(),
+                redirect_to: "/".to_owned(),
             },
-            _ => FormPlace {
+            _ => FormSpec {
                 title: "Firm".to_owned(),
                 pointer: String::new(),
                 fields: site_fields(),
                 action: "/site".to_owned(),
-                after: "/".to_owned(),
+                redirect_to: "/".to_owned(),
             },
         }
     }
@@ -268,22 +278,22 @@
         let own = draft.value(&format!("{pointer}/name"));
         let mut others = draft.names(Section::DataCentres);
         others.retain(|name| own.as_str() != Some(name));
-        FormPlace {
+        FormSpec {
             title,
             pointer,
             fields: element_fields(section, &others),
-            action: format!("/lists/{}/{last}", section.list()),
-            after: format!("/lists/{}", section.list()),
+            action: format!("/lists/{}/{last}", section.key()),
+            redirect_to: format!("/lists/{}", section.key()),
         }
     }
 
-    fn form<'f>(&self, draft: &'f Draft, seal: FormSeal<'f>) -> Form<'f> {
+    fn form<'f>(&self, draft: &'f Draft, hidden_fields: HiddenFields<'f>) -> Form<'f> {
         Form {
             draft,
             pointer: self.pointer.clone(),
             fields: self.fields.clone(),
             action: self.action.clone(),
-            seal,
+            hidden_fields,
         }
     }
 }
--- a/ctl/src/console/section.rs
+++ b/ctl/src/console/section.rs
@@ -1,4 +1,4 @@
-//! The parts of the document that have forms.
+//! The lists of the document that the console shows.
 
 use almondhead_macros::key;
 
@@ -27,8 +27,8 @@
         Self::Teams,
     ];
 
-    /// The list's key in the document, also its name in addresses.
-    pub(crate) fn list(self) -> &'static str {
+    /// Returns the list's key in the document, which is also its name in URL paths.
+    pub(crate) fn key(self) -> &'static str {
         match self {
             Self::Services => "services",
             Self::DataCentres => "data_centres",
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The heading of the list.
+    /// Returns the heading of the list.
     pub(crate) fn title(self) -> &'static str {
         match self {
             Self::Services => "Services",
@@ -49,7 +49,7 @@
         }
     }
 
-    /// One element of the list.
+    /// Returns the term for one element of the list.
     pub(crate) fn singular(self) -> &'static str {
         match self {
             Self::Services => "service",
@@ -60,13 +60,13 @@
         }
     }
 
-    /// The section of a list's key.
-    pub(crate) fn parse(list: &str) -> Option<Self> {
-        Self::ALL.into_iter().find(|section| section.list() == list)
+    /// Returns the section with this key in the document.
+    pub(crate) fn parse(key: &str) -> Option<Self> {
+        Self::ALL.into_iter().find(|section| section.key() == key)
     }
 
-    /// The JSON pointer of the list.
+    /// Returns the JSON pointer of the list.
     pub(crate) fn pointer(self) -> String {
-        format!("/{}", self.list())
+        format!("/{}", self.key())
     }
 }
--- a/ctl/src/console/server.rs
+++ b/ctl/src/console/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the console.
+//! The HTTP server of the console, bound to a loopback address.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,10 +17,10 @@
 use crate::error::CtlError;
 use crate::report::write_text;
 
-/// The longest body of a form in bytes.
+/// The maximum size of a request body in bytes.
 const MAX_BODY_BYTES: u64 = 1024 * 1024;
 
-const CONTENT_POLICY: &str =
+const CONTENT_SECURITY_POLICY: &str =
     "default-src 'none'; style-src 'unsafe-inline'; form-action 'self'; frame-ancestors 'none'";
 
 /// Serves the console until the process is interrupted.
@@ -48,7 +48,7 @@
 }
 
 async fn handle(console: &Console, mut conn: Conn) -> Conn {
-    if !is_own_host(&conn) {
+    if !has_loopback_host(&conn) {
         return refuse(
             conn,
             403,
@@ -60,9 +60,13 @@
         return refuse(conn, 404, "There is no such page.");
     };
     let reply = match conn.method() {
-        Method::Get | Method::Head => console.show(&route).await,
+        Method::Get | Method::Head => console.show_page(&route).await,
         Method::Post => match conn.request_body_string().await {
-            Ok(body) => console.change(&route, &FormValues::decode(&body)).await,
+            Ok(body) => {
+                console
+                    .handle_form(&route, &FormValues::decode(&body))
+                    .await
+            }
             Err(_) => return refuse(conn, 400, "The form could not be read."),
         },
         _ => return refuse(conn, 405, "Pages are read with GET and changed with POST."),
@@ -70,8 +74,8 @@
     answer(conn, &path, reply)
 }
 
-/// Whether the request names this machine, so that no foreign name was pointed at it.
-fn is_own_host(conn: &Conn) -> bool {
+/// Whether the `Host` header names a loopback address or `localhost`, against DNS rebinding.
+fn has_loopback_host(conn: &Conn) -> bool {
     let host = conn.host().unwrap_or("");
     let address: Option<SocketAddr> = host.parse().ok();
     let is_loopback = address.is_some_and(|address| address.ip().is_loopback());
@@ -87,7 +91,7 @@
 fn answer(conn: Conn, path: &str, reply: Reply) -> Conn {
     let conn = conn
         .with_response_header("cache-control", "no-store")
-        .with_response_header("content-security-policy", CONTENT_POLICY)
+        .with_response_header("content-security-policy", CONTENT_SECURITY_POLICY)
         .with_response_header("x-content-type-options", "nosniff")
         .with_response_header("referrer-policy", "same-origin");
     match reply {
--- a/ctl/src/console/state.rs
+++ b/ctl/src/console/state.rs
@@ -1,4 +1,4 @@
-//! What the console keeps while it runs.
+//! The state of the console while it runs.
 
 use almondhead_net::DocumentStore;
 use smol::lock::Mutex;
@@ -7,20 +7,20 @@
 use crate::submitting::default_author;
 use crate::submitting::random_token;
 
-/// The console of one operator.
+/// The store, the draft and the identity of one running console.
 pub(crate) struct Console {
-    /// Where documents are loaded from and submitted to.
+    /// The store that documents are loaded from and submitted to.
     pub(crate) store: DocumentStore,
-    /// Who submits, unless the form says otherwise.
+    /// The author of submissions whose form names none.
     pub(crate) author: String,
-    /// A secret of this run that forms carry, so that other sites' pages can't send them.
+    /// A random secret in every form, which protects against cross-site request forgery.
     pub(crate) token: String,
-    /// The draft; none before the first page.
+    /// The draft; `None` before the first request.
     pub(crate) draft: Mutex<Option<Draft>>,
 }
 
 impl Console {
-    /// A console without a draft.
+    /// Creates a console without a draft.
     pub(crate) fn new(store: DocumentStore, author: Option<String>) -> Self {
         Console {
             store,
--- a/ctl/src/console/utc_input.rs
+++ b/ctl/src/console/utc_input.rs
@@ -1,17 +1,17 @@
-//! Times as the form element `datetime-local` writes them, taken as UTC.
+//! Values of the form control `datetime-local`, in UTC.
 
 use crate::utc::UtcTime;
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// A time since the Unix epoch as `2026-12-04T18:00:00`.
-pub(crate) fn to_input(unix_ms: u64) -> String {
+/// Formats milliseconds since the Unix epoch as `2026-12-04T18:00:00`.
+pub(crate) fn to_input_value(unix_ms: u64) -> String {
     let time = UtcTime::from_unix_ms(unix_ms);
-    format!("{}T{}", time.date(), time.clock())
+    format!("{}T{}", time.date(), time.time_of_day())
 }
 
-/// Reads `2026-12-04T18:00` with or without seconds; none for anything else.
-pub(crate) fn from_input(text: &str) -> Option<u64> {
+/// Parses `2026-12-04T18:00`, with or without seconds, to milliseconds since the Unix epoch.
+pub(crate) fn parse_input_value(text: &str) -> Option<u64> {
     let (date, clock) = text.split_once('T')?;
     let date: Vec<u64> = numbers(date, '-')?;
     let clock: Vec<u64> = numbers(clock, ':')?;
@@ -35,7 +35,7 @@
     }
     let seconds = unix_day(*year, *month, *day) * 86_400 + hour * 3_600 + minute * 60 + second;
     let unix_ms = seconds * MILLIS_PER_SECOND;
-    let same_day = to_input(unix_ms).starts_with(text.split_once('T')?.0);
+    let same_day = to_input_value(unix_ms).starts_with(text.split_once('T')?.0);
     same_day.then_some(unix_ms)
 }
 
@@ -45,7 +45,9 @@
         .collect()
 }
 
-/// The days since the Unix epoch, counted in years that begin in March.
+/// Returns the number of days from the Unix epoch to a date from 1970 on.
+///
+/// Years are counted from March, so that a leap day is the last day of its year.
 fn unix_day(year: u64, month: u64, day: u64) -> u64 {
     let year = if month <= 2 { year - 1 } else { year };
     let march_month = (month + 9) % 12;
--- a/ctl/src/console_command.rs
+++ b/ctl/src/console_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl console`: the document as forms in a browser on this machine.
+//! `almondctl console`: serves forms for the document to a browser on this machine.
 
 use std::net::SocketAddr;
 
@@ -46,7 +46,7 @@
         )
 }
 
-/// Serves the forms.
+/// Serves the console until the process is interrupted.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let listen: SocketAddr = *arguments.get_one(LISTEN).expect("has a default");
     let author = arguments.get_one("author").cloned();
