--- a/ctl/examples/measure/scenario.rs
+++ b/ctl/examples/measure/scenario.rs
@@ -144,12 +144,12 @@
         let duration = Duration::from_secs(duration_s);
         let matches = load::command().get_matches_from(["load", "--entry", "127.0.0.1:1"]);
         let burst = Burst {
-            from: duration / 3,
-            length: duration / 3,
+            start: duration / 3,
+            duration: duration / 3,
         };
         Ok(LoadOptions {
             entries: site.callers(),
-            operators: site.operators(),
+            operator_addresses: site.operators(),
             service: site.service().to_owned(),
             teams: site.teams(),
             slots: site.slots(),
--- a/ctl/examples/measure/site.rs
+++ b/ctl/examples/measure/site.rs
@@ -120,7 +120,7 @@
         smol::block_on(self.bring_about(scenario.fault))?;
         if scenario.fault == Fault::EntryKilled {
             // The metrics of an entry that is gone cannot be read after the load.
-            options.operators.clear();
+            options.operator_addresses.clear();
         }
         let kill_after = options.duration / 2;
         let loading = thread::spawn(move || load::offer(&options));
--- a/ctl/src/load.rs
+++ b/ctl/src/load.rs
@@ -1,4 +1,4 @@
-//! `almondctl load`: offers jobs to entry instances at a set rate and reports how they fared.
+//! `almondctl load`: submits jobs to entry instances at a fixed average rate and reports response times.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 use crate::load_scrape::scrape_messages;
 use crate::report::write_report;
 
-/// The name of the subcommand.
+/// The subcommand's name.
 pub(crate) const NAME: &str = "load";
 
 const ABOUT: &str = "Offers jobs to entry instances at a set rate and measures them";
@@ -26,7 +26,7 @@
 response time counts from the planned time. The ideal of a single task is its run time and the
 unavoidable round trips; that of a job also bears that its tasks share the slots.";
 
-/// The command line of the subcommand.
+/// Returns the command line of the subcommand.
 pub fn command() -> Command {
     LoadOptions::with_arguments(Command::new(NAME).about(ABOUT).long_about(DETAILS))
 }
@@ -38,17 +38,23 @@
     Ok(Exit::Ok)
 }
 
-/// Offers the load that `options` describe.
+/// Generates the load that `options` describe, and returns its report once every job has ended.
 ///
 /// # Errors
 ///
-/// [`LoadError`] when an entry cannot be reached before the first job.
+/// [`LoadError`] when a session can't be opened before the first job, or the metrics can't be read.
 pub fn offer(options: &LoadOptions) -> Result<LoadReport, LoadError> {
     let plan = LoadPlan::draw(options);
     let driver = Arc::new(LoadDriver::new(options));
-    let before = smol::block_on(scrape_messages(driver.client(), &options.operators))?;
+    let before = smol::block_on(scrape_messages(
+        driver.client(),
+        &options.operator_addresses,
+    ))?;
     let samples = driver.run(&plan)?;
-    let after = smol::block_on(scrape_messages(driver.client(), &options.operators))?;
+    let after = smol::block_on(scrape_messages(
+        driver.client(),
+        &options.operator_addresses,
+    ))?;
     let messages = after
         .zip(before)
         .map(|(after, before)| after.since(&before));
--- a/ctl/src/load_error.rs
+++ b/ctl/src/load_error.rs
@@ -6,29 +6,29 @@
 use derive_more::Display;
 use derive_more::Error;
 
-/// Why no load could be offered.
+/// Why a load failed.
 #[derive(Debug, Display, Error)]
 pub enum LoadError {
-    /// An option has a value out of its range.
+    /// The value of an option is outside its range.
     #[display("--{option} must be {expected}")]
     Option {
-        /// The option.
+        /// The option's name, without dashes.
         option: &'static str,
-        /// What would be right.
+        /// The allowed values.
         expected: &'static str,
     },
     /// A session could not be opened.
     #[display("open a session at {entry}: {reason}")]
     Session {
-        /// The entry.
+        /// The entry's address for callers.
         entry: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         reason: String,
     },
     /// The metrics of an entry could not be read.
     #[display("read the metrics: {source}")]
     Metrics {
-        /// What went wrong.
+        /// The failed exchange.
         source: ExchangeError,
     },
 }
--- a/ctl/src/load_options.rs
+++ b/ctl/src/load_options.rs
@@ -1,4 +1,4 @@
-//! What the load driver is told on its command line.
+//! The options of the load driver, and their command-line arguments.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,82 +14,82 @@
 
 use crate::load_error::LoadError;
 
-/// The longest load in seconds.
+/// The maximum duration of a load in seconds.
 const MAX_DURATION_S: u64 = 3_600;
 
-/// The most requests of one load.
+/// The maximum number of requests of one load.
 const MAX_REQUESTS: u64 = 10_000_000;
 
-/// Which entry instance a session's jobs go to.
+/// How the entry instance of each job is selected.
 #[key]
-pub enum Via {
-    /// The one that opened the session, as behind a balancer with kept connections.
+pub enum EntrySelection {
+    /// The instance that opened the session, as behind a load balancer with kept-alive connections.
     Home,
-    /// Each in turn.
-    Any,
+    /// Every instance in turn.
+    RoundRobin,
 }
 
-/// A stretch of the load with more arrivals.
+/// A period of the load with a higher arrival rate.
 #[value]
 #[derive(Copy)]
 pub struct Burst {
-    /// When it starts.
-    pub from: Duration,
-    /// How long it lasts.
-    pub length: Duration,
+    /// The time from the start of the load to the start of the burst.
+    pub start: Duration,
+    /// How long the burst lasts.
+    pub duration: Duration,
 }
 
-/// One load.
+/// The parameters of one load.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The addresses at which entries take callers.
+    /// The addresses at which the entry instances serve callers.
     pub entries: Vec<SocketAddr>,
-    /// The addresses at which entries give their metrics; none are read when empty.
-    pub operators: Vec<SocketAddr>,
+    /// The addresses of the operators' listeners, which serve metrics; no metrics are read when empty.
+    pub operator_addresses: Vec<SocketAddr>,
     /// The service that runs the tasks.
     pub service: String,
-    /// The teams in whose names jobs are submitted, in turn.
+    /// The teams for which jobs are submitted, in turn.
     pub teams: Vec<String>,
-    /// Which entry a session's jobs go to.
-    pub via: Via,
-    /// Sessions opened at each entry.
+    /// How the entry of each job is selected.
+    pub entry_selection: EntrySelection,
+    /// The number of sessions opened at each entry.
     pub sessions: usize,
-    /// The most connections to each entry.
+    /// The maximum number of connections to each entry.
     pub connections: usize,
-    /// The slots of all upstreams.
+    /// The total number of slots of all upstreams.
     pub slots: u32,
-    /// The tasks offered, as a share of what the slots can run.
+    /// The offered load as a share of the capacity of the slots.
     pub load: f64,
-    /// How long jobs are offered.
+    /// How long jobs are submitted.
     pub duration: Duration,
-    /// The most requests sent.
+    /// The maximum number of requests sent.
     pub max_requests: u64,
-    /// The share of requests that are single tasks.
+    /// The share of requests that are single tasks, 0 to 1.
     pub single_share: f64,
-    /// By how much run times are stretched.
+    /// The factor applied to every run time.
     pub run_scale: f64,
-    /// Declared over true run time; nothing is declared when absent.
+    /// The ratio of declared to actual run time; no run time is declared when absent.
     pub declared_factor: Option<f64>,
-    /// The time that each job is given.
+    /// The timeout of each job.
     pub timeout: Duration,
-    /// The round trips that no answer can avoid, taken together.
+    /// The total time of the round trips that every response needs.
     pub round_trips: Duration,
-    /// By how much more arrives in the burst.
+    /// The factor applied to the arrival rate during the burst.
     pub burst_factor: f64,
-    /// When it does.
+    /// The period of the burst; absent when the factor is 1 or less.
     pub burst: Option<Burst>,
-    /// When a wave of cancellations starts.
+    /// When a share of the open jobs is cancelled, from the start of the load.
     pub cancel_at: Option<Duration>,
-    /// The share of the open jobs that it cancels.
+    /// The share of the open jobs that is cancelled then, 0 to 1.
     pub cancel_share: f64,
-    /// Whether refused jobs are sent again when they are told to.
+    /// Whether a refused job is sent again after the `retry_after_ms` of its answer.
     pub follow_retry: bool,
-    /// The seed of all that is drawn.
+    /// The seed of the random job plan.
     pub seed: u64,
 }
 
 impl LoadOptions {
-    /// Adds the arguments to a subcommand.
+    /// Adds the load's arguments to a subcommand.
     pub fn with_arguments(command: Command) -> Command {
         command
             .args(site_arguments())
@@ -102,27 +102,27 @@
             .arg(count("seed", "1", "Seed of all that is drawn"))
     }
 
-    /// Reads the arguments.
+    /// Reads the options from parsed arguments.
     ///
     /// # Errors
     ///
-    /// [`LoadError::Option`] for a value out of its range.
+    /// [`LoadError::Option`] for a value outside its range.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, LoadError> {
         let burst_factor = positive(matches, "burst-factor")?;
         let burst = Burst {
-            from: seconds(matches, "burst-from-s"),
-            length: seconds(matches, "burst-for-s"),
+            start: seconds(matches, "burst-from-s"),
+            duration: seconds(matches, "burst-for-s"),
         };
         let declared = matches.contains_id("declared-factor");
         let cancelled = matches.contains_id("cancel-at-s");
         Ok(LoadOptions {
             entries: list(matches, "entry"),
-            operators: list(matches, "operators"),
+            operator_addresses: list(matches, "operators"),
             service: first(matches, "service"),
             teams: list(matches, "teams"),
-            via: match first::<String>(matches, "via").as_str() {
-                "any" => Via::Any,
-                _ => Via::Home,
+            entry_selection: match first::<String>(matches, "via").as_str() {
+                "any" => EntrySelection::RoundRobin,
+                _ => EntrySelection::Home,
             },
             sessions: bounded(matches, "sessions", 1, 1_000)?,
             connections: bounded(matches, "connections", 1, 65_536)?,
@@ -265,15 +265,15 @@
 fn bounded<T: TryFrom<u64>>(
     matches: &ArgMatches,
     option: &'static str,
-    least: u64,
-    most: u64,
+    min: u64,
+    max: u64,
 ) -> Result<T, LoadError> {
     let value: u64 = first(matches, option);
-    let bounded = (least..=most).contains(&value).then_some(value);
-    let fitting = bounded.and_then(|value| T::try_from(value).ok());
-    fitting.ok_or(LoadError::Option {
+    let in_range = (min..=max).contains(&value).then_some(value);
+    let converted = in_range.and_then(|value| T::try_from(value).ok());
+    converted.ok_or(LoadError::Option {
         option,
-        expected: "above zero and not beyond reason",
+        expected: "at least 1 and at most the limit of this option",
     })
 }
 
--- a/ctl/src/load_report.rs
+++ b/ctl/src/load_report.rs
@@ -1,4 +1,4 @@
-//! What a load measured, as text and as JSON.
+//! The report of a load, as text and as JSON.
 
 use std::fmt;
 use std::ops::Range;
@@ -10,73 +10,73 @@
 
 use crate::load_options::LoadOptions;
 use crate::load_plan::LoadPlan;
-use crate::load_sample::JobEnd;
+use crate::load_sample::JobOutcome;
 use crate::load_sample::JobSample;
 use crate::load_scrape::MessageTotals;
 
-/// Ratios are recorded in thousandths.
-const RATIO_UNIT: f64 = 1_000.0;
+/// Histograms hold integers, so values are recorded in thousandths.
+const HISTOGRAM_SCALE: f64 = 1_000.0;
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Some points of a distribution.
+/// The quantiles of a distribution.
 #[message]
 #[derive(Copy, Default)]
 pub struct Percentiles {
-    /// How many values there are.
+    /// The number of values.
     pub count: u64,
-    /// Half of the values are at most this.
+    /// The median.
     pub p50: f64,
-    /// 99 of 100 values are at most this.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 of 1000 values are at most this.
+    /// The 99.9th percentile.
     pub p999: f64,
-    /// The largest value.
+    /// The maximum.
     pub max: f64,
 }
 
-/// The messages of a load.
+/// The number of messages that a load caused.
 #[message]
 pub struct MessageReport {
-    /// By kind, over all entries.
+    /// Messages by kind, summed over all entries.
     pub by_kind: IndexMap<String, u64>,
-    /// Messages beyond one request and one answer for each useful task, for each task offered.
+    /// Messages beyond one request and one answer per task of a complete job, per task offered.
     pub wasted_per_task: f64,
 }
 
 /// The report of one load.
 #[message]
 pub struct LoadReport {
-    /// The seed.
+    /// The seed of the job plan.
     pub seed: u64,
-    /// Jobs offered, single tasks among them.
+    /// The number of jobs offered, including single tasks.
     pub jobs: u64,
-    /// Tasks offered.
+    /// The number of tasks offered.
     pub tasks: u64,
-    /// Jobs by how they ended.
+    /// The number of jobs by outcome.
     pub ends: IndexMap<String, u64>,
-    /// Response over ideal of complete single tasks.
+    /// The ratio of response time to ideal response time, for complete single tasks.
     pub singles_over_ideal: Percentiles,
-    /// Response over ideal of complete jobs.
+    /// The ratio of response time to ideal response time, for complete jobs.
     pub jobs_over_ideal: Percentiles,
-    /// The time to answer refusals in milliseconds.
+    /// The time from request to refusal in milliseconds.
     pub refusal_ms: Percentiles,
-    /// Jobs that were sent again as told and then completed.
+    /// The number of jobs that were sent again after a refusal and then completed.
     pub followed_complete: u64,
-    /// Jobs that were sent again as told.
+    /// The number of jobs that were sent again after a refusal.
     pub followed: u64,
-    /// Run time of complete jobs while jobs were offered, as a share of what the slots could run.
+    /// The run time of complete jobs while jobs were offered, as a share of the capacity of the slots.
     pub goodput: f64,
-    /// The same during the burst, when there was one.
+    /// The same during the burst; absent when there was none.
     pub goodput_in_burst: Option<f64>,
-    /// The time from the start to the last answer in seconds.
+    /// The time from the start to the last response in seconds.
     pub span_s: f64,
-    /// The messages, when the entries' metrics were read.
+    /// The messages; absent when no metrics were read.
     pub messages: Option<MessageReport>,
 }
 
 impl LoadReport {
-    /// Sums up the samples of a plan.
+    /// Summarises the samples of a plan's jobs.
     pub fn new(
         options: &LoadOptions,
         plan: &LoadPlan,
@@ -84,50 +84,52 @@
         messages: Option<MessageTotals>,
     ) -> Self {
         let ratios = |single: bool| {
-            let of_kind = samples.iter().filter(move |s| is_useful(s));
-            let of_kind = of_kind.filter(move |s| plan.jobs[s.job].single == single);
-            percentiles(of_kind.map(|sample| over_ideal(options, plan, sample)))
+            let of_kind = samples.iter().filter(move |s| is_complete(s));
+            let of_kind = of_kind.filter(move |s| plan.jobs[s.job_index].single == single);
+            percentiles(of_kind.map(|sample| response_over_ideal(options, plan, sample)))
         };
         let refused = samples
             .iter()
-            .filter(|sample| matches!(sample.end, JobEnd::NotRun { .. }));
+            .filter(|sample| matches!(sample.outcome, JobOutcome::NotRun { .. }));
         let followed = samples.iter().filter(|sample| sample.retries > 0);
-        let useful = samples.iter().filter(|sample| is_useful(sample));
-        let useful_tasks = useful.map(|s| plan.jobs[s.job].run_ms.len() as u64).sum();
-        let tasks = plan.tasks() as u64;
+        let useful = samples.iter().filter(|sample| is_complete(sample));
+        let useful_tasks = useful
+            .map(|s| plan.jobs[s.job_index].run_times_ms.len() as u64)
+            .sum();
+        let tasks = plan.task_count() as u64;
         let goodput = |window| goodput(options, plan, samples, window);
         LoadReport {
             seed: options.seed,
             jobs: plan.jobs.len() as u64,
             tasks,
-            ends: count_ends(samples),
+            ends: count_outcomes(samples),
             singles_over_ideal: ratios(true),
             jobs_over_ideal: ratios(false),
-            refusal_ms: percentiles(refused.map(|sample| sample.exchange.as_secs_f64() * 1e3)),
-            followed_complete: followed.clone().filter(|s| is_useful(s)).count() as u64,
+            refusal_ms: percentiles(refused.map(|sample| sample.exchange_time.as_secs_f64() * 1e3)),
+            followed_complete: followed.clone().filter(|s| is_complete(s)).count() as u64,
             followed: followed.count() as u64,
             goodput: goodput(Duration::ZERO..options.duration),
             goodput_in_burst: options
                 .burst
-                .map(|burst| goodput(burst.from..burst.from + burst.length)),
+                .map(|burst| goodput(burst.start..burst.start + burst.duration)),
             span_s: span(plan, samples).as_secs_f64(),
             messages: messages.map(|totals| message_report(totals, useful_tasks, tasks)),
         }
     }
 }
 
-fn is_useful(sample: &JobSample) -> bool {
-    sample.end == JobEnd::Complete
+fn is_complete(sample: &JobSample) -> bool {
+    sample.outcome == JobOutcome::Complete
 }
 
-fn over_ideal(options: &LoadOptions, plan: &LoadPlan, sample: &JobSample) -> f64 {
-    let ideal = plan.jobs[sample.job].ideal(options.slots, options.round_trips);
-    sample.response.as_secs_f64() / ideal.as_secs_f64()
+fn response_over_ideal(options: &LoadOptions, plan: &LoadPlan, sample: &JobSample) -> f64 {
+    let ideal = plan.jobs[sample.job_index].ideal_response_time(options.slots, options.round_trips);
+    sample.response_time.as_secs_f64() / ideal.as_secs_f64()
 }
 
-/// The run time of complete jobs within a window, as a share of what the slots could run.
+/// Returns the run time of complete jobs within a window, as a share of the capacity of the slots.
 ///
-/// A job counts as run in the last stretch before its answer, as long as its ideal.
+/// A job is assumed to have run for its ideal response time up to its response.
 fn goodput(
     options: &LoadOptions,
     plan: &LoadPlan,
@@ -135,16 +137,18 @@
     window: Range<Duration>,
 ) -> f64 {
     let slots = options.slots;
-    let useful = samples.iter().filter(|sample| is_useful(sample));
+    let useful = samples.iter().filter(|sample| is_complete(sample));
     let useful_s: f64 = useful
         .map(|sample| {
-            let job = &plan.jobs[sample.job];
-            let run = job.ideal(slots, options.round_trips).min(sample.response);
-            let answered = job.at + sample.response;
+            let job = &plan.jobs[sample.job_index];
+            let run = job
+                .ideal_response_time(slots, options.round_trips)
+                .min(sample.response_time);
+            let answered = job.at + sample.response_time;
             let within = answered.min(window.end);
             let within = within.saturating_sub((answered - run).max(window.start));
             let share = within.as_secs_f64() / run.as_secs_f64().max(f64::EPSILON);
-            share * job.run_ms.iter().copied().map(f64::from).sum::<f64>() / 1e3
+            share * job.run_times_ms.iter().copied().map(f64::from).sum::<f64>() / 1e3
         })
         .sum();
     let window_s = window.end.saturating_sub(window.start).as_secs_f64();
@@ -152,21 +156,23 @@
 }
 
 fn span(plan: &LoadPlan, samples: &[JobSample]) -> Duration {
-    let ends = samples.iter().map(|s| plan.jobs[s.job].at + s.response);
+    let ends = samples
+        .iter()
+        .map(|s| plan.jobs[s.job_index].at + s.response_time);
     ends.max().unwrap_or_default()
 }
 
-fn count_ends(samples: &[JobSample]) -> IndexMap<String, u64> {
+fn count_outcomes(samples: &[JobSample]) -> IndexMap<String, u64> {
     let mut ends = IndexMap::new();
     for sample in samples {
-        *ends.entry(sample.end.label()).or_default() += 1;
+        *ends.entry(sample.outcome.label()).or_default() += 1;
     }
     ends.sort_unstable_keys();
     ends
 }
 
 fn message_report(totals: MessageTotals, useful_tasks: u64, tasks: u64) -> MessageReport {
-    let wasted = totals.all() as f64 - 2.0 * useful_tasks as f64;
+    let wasted = totals.total() as f64 - 2.0 * useful_tasks as f64;
     MessageReport {
         wasted_per_task: wasted / tasks.max(1) as f64,
         by_kind: totals.by_kind,
@@ -176,16 +182,16 @@
 fn percentiles(values: impl Iterator<Item = f64>) -> Percentiles {
     let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS).expect("digits are in range");
     for value in values {
-        // The histogram grows with its values, so that every one fits.
-        let _ = histogram.record((value * RATIO_UNIT).round() as u64);
+        // The histogram resizes itself, so recording can't fail.
+        let _ = histogram.record((value * HISTOGRAM_SCALE).round() as u64);
     }
-    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / RATIO_UNIT;
+    let at = |quantile| histogram.value_at_quantile(quantile) as f64 / HISTOGRAM_SCALE;
     Percentiles {
         count: histogram.len(),
         p50: at(0.5),
         p99: at(0.99),
         p999: at(0.999),
-        max: histogram.max() as f64 / RATIO_UNIT,
+        max: histogram.max() as f64 / HISTOGRAM_SCALE,
     }
 }
 
@@ -211,8 +217,8 @@
         writeln!(f, "seed               {}", self.seed)?;
         writeln!(f, "offered            {jobs} jobs, {tasks} tasks")?;
         writeln!(f, "span               {:.1} s", self.span_s)?;
-        for (end, jobs) in &self.ends {
-            writeln!(f, "  {end:<28} {jobs}")?;
+        for (outcome, jobs) in &self.ends {
+            writeln!(f, "  {outcome:<28} {jobs}")?;
         }
         writeln!(f, "singles over ideal {}", self.singles_over_ideal)?;
         writeln!(f, "jobs over ideal    {}", self.jobs_over_ideal)?;
--- a/ctl/src/load_sample.rs
+++ b/ctl/src/load_sample.rs
@@ -1,4 +1,4 @@
-//! What became of one submitted job.
+//! The outcome of one submitted job.
 
 use std::time::Duration;
 
@@ -8,47 +8,47 @@
 use almondhead_net::HttpResponse;
 use almondhead_net::StatusCode;
 
-/// How one exchange with an entry ended.
+/// The outcome of one exchange with an entry.
 #[value]
-pub enum JobEnd {
+pub enum JobOutcome {
     /// Every task finished.
     Complete,
-    /// Nothing ran.
+    /// No task ran.
     NotRun {
         /// The reason that the entry gave.
         reason: String,
-        /// When to come back.
+        /// When the entry asks for the job to be sent again.
         retry_after: Option<Duration>,
     },
-    /// Something ran, or may have.
+    /// A task ran, or may have run.
     Failed {
         /// The reason that the entry gave.
         reason: String,
     },
-    /// The answer was no answer of the caller interface.
+    /// The response does not follow the caller interface.
     Unreadable {
         /// Its HTTP status.
         status: u16,
     },
-    /// There was no whole answer.
+    /// No complete response arrived.
     Broken {
-        /// The step that failed.
+        /// The step of the exchange that failed.
         step: String,
     },
 }
 
-/// One job and its last end.
+/// The measurement of one job.
 #[value]
 pub struct JobSample {
-    /// Its place in the plan.
-    pub job: usize,
-    /// How it ended.
-    pub end: JobEnd,
-    /// From the planned time to the last answer.
-    pub response: Duration,
-    /// From the sending of the last request to its answer.
-    pub exchange: Duration,
-    /// How often it was sent again after a refusal.
+    /// Its index in the plan.
+    pub job_index: usize,
+    /// The outcome of its last request.
+    pub outcome: JobOutcome,
+    /// The time from the planned submission to the last response.
+    pub response_time: Duration,
+    /// The time from sending the last request to its response.
+    pub exchange_time: Duration,
+    /// How many times it was sent again after a refusal.
     pub retries: u32,
 }
 
@@ -59,41 +59,41 @@
     retry_after_ms: Option<u64>,
 }
 
-impl JobEnd {
-    /// Reads the end of an exchange.
-    pub fn of(exchange: Result<HttpResponse, ExchangeError>) -> Self {
+impl JobOutcome {
+    /// Derives the outcome from the result of an exchange.
+    pub fn from_exchange(exchange: Result<HttpResponse, ExchangeError>) -> Self {
         match exchange {
-            Ok(answer) if answer.status == StatusCode::OK => JobEnd::Complete,
-            Ok(answer) => JobEnd::of_problem(&answer),
-            Err(error) => JobEnd::Broken {
+            Ok(answer) if answer.status == StatusCode::OK => JobOutcome::Complete,
+            Ok(answer) => JobOutcome::from_problem(&answer),
+            Err(error) => JobOutcome::Broken {
                 step: error.step.to_string(),
             },
         }
     }
 
-    fn of_problem(answer: &HttpResponse) -> Self {
+    fn from_problem(answer: &HttpResponse) -> Self {
         match serde_json::from_slice::<ProblemBody>(&answer.body) {
-            Ok(problem) if problem.outcome == "not_run" => JobEnd::NotRun {
+            Ok(problem) if problem.outcome == "not_run" => JobOutcome::NotRun {
                 reason: problem.reason,
                 retry_after: problem.retry_after_ms.map(Duration::from_millis),
             },
-            Ok(problem) if problem.outcome == "failed" => JobEnd::Failed {
+            Ok(problem) if problem.outcome == "failed" => JobOutcome::Failed {
                 reason: problem.reason,
             },
-            _ => JobEnd::Unreadable {
+            _ => JobOutcome::Unreadable {
                 status: answer.status.as_u16(),
             },
         }
     }
 
-    /// The name under which ends of this kind are counted.
+    /// Returns the label under which this outcome is counted in the report.
     pub fn label(&self) -> String {
         match self {
-            JobEnd::Complete => "complete".to_owned(),
-            JobEnd::NotRun { reason, .. } => format!("not_run:{reason}"),
-            JobEnd::Failed { reason } => format!("failed:{reason}"),
-            JobEnd::Unreadable { status } => format!("unreadable:{status}"),
-            JobEnd::Broken { step } => format!("broken:{step}"),
+            JobOutcome::Complete => "complete".to_owned(),
+            JobOutcome::NotRun { reason, .. } => format!("not_run:{reason}"),
+            JobOutcome::Failed { reason } => format!("failed:{reason}"),
+            JobOutcome::Unreadable { status } => format!("unreadable:{status}"),
+            JobOutcome::Broken { step } => format!("broken:{step}"),
         }
     }
 }
--- a/ctl/src/load_scrape.rs
+++ b/ctl/src/load_scrape.rs
@@ -1,4 +1,4 @@
-//! The entries' counts of the messages that they caused.
+//! The entries' message counters, read from their metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 
 use crate::load_error::LoadError;
 
-const METRIC: &str = "almondhead_messages_total";
+const MESSAGES_METRIC: &str = "almondhead_messages_total";
 
-/// The kind whose messages count as attempts already.
-const RETRY: &str = "retry";
+/// The kind of retries, whose messages are also counted as attempts.
+const RETRY_KIND: &str = "retry";
 
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Messages by kind, over some entries.
+/// Message counts by kind, summed over entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MessageTotals {
     /// The number of messages of each kind.
@@ -25,16 +25,16 @@
 }
 
 impl MessageTotals {
-    /// All messages, each once.
-    pub fn all(&self) -> u64 {
+    /// Returns the number of messages, counting each message once.
+    pub fn total(&self) -> u64 {
         let kinds = self.by_kind.iter();
         kinds
-            .filter(|(kind, _)| *kind != RETRY)
+            .filter(|(kind, _)| *kind != RETRY_KIND)
             .map(|(_, messages)| messages)
             .sum()
     }
 
-    /// What came after `before`.
+    /// Returns the messages counted after `before`.
     #[must_use]
     pub fn since(&self, before: &MessageTotals) -> MessageTotals {
         let kinds = self.by_kind.iter();
@@ -47,32 +47,32 @@
         }
     }
 
-    /// Adds what the text of one scrape counts.
+    /// Adds the counts in the text of one scrape.
     pub fn add_scrape(&mut self, text: &str) {
-        for (kind, messages) in text.lines().filter_map(sample) {
+        for (kind, messages) in text.lines().filter_map(parse_sample) {
             *self.by_kind.entry(kind.to_owned()).or_default() += messages;
         }
     }
 }
 
-/// The sum over all entries, or nothing when no addresses are given.
+/// Scrapes every entry and returns the sum, or `None` when there are no addresses.
 pub(crate) async fn scrape_messages(
     client: &HttpClient,
-    operators: &[SocketAddr],
+    operator_addresses: &[SocketAddr],
 ) -> Result<Option<MessageTotals>, LoadError> {
     let mut totals = MessageTotals::default();
-    for address in operators {
+    for address in operator_addresses {
         let request = HttpRequest::new(Method::GET, *address, "/metrics");
         let answer = client.send(request, SCRAPE_TIMEOUT).await;
         let answer = answer.map_err(|source| LoadError::Metrics { source })?;
         totals.add_scrape(&String::from_utf8_lossy(&answer.body));
     }
-    Ok((!operators.is_empty()).then_some(totals))
+    Ok((!operator_addresses.is_empty()).then_some(totals))
 }
 
-/// The kind and the count of one line, when it is a sample of the metric.
-fn sample(line: &str) -> Option<(&str, u64)> {
-    let labels = line.strip_prefix(METRIC)?.strip_prefix('{')?;
+/// Parses one line into kind and count; `None` when it is no sample of the metric.
+fn parse_sample(line: &str) -> Option<(&str, u64)> {
+    let labels = line.strip_prefix(MESSAGES_METRIC)?.strip_prefix('{')?;
     let (labels, value) = labels.split_once('}')?;
     let (_, kind) = labels.split_once("kind=\"")?;
     let (kind, _) = kind.split_once('"')?;
--- a/ctl/tests/load_plan.rs
+++ b/ctl/tests/load_plan.rs
@@ -22,7 +22,7 @@
 fn tasks_between(plan: &LoadPlan, from_s: u64, to_s: u64) -> usize {
     let within = Duration::from_secs(from_s)..Duration::from_secs(to_s);
     let jobs = plan.jobs.iter().filter(|job| within.contains(&job.at));
-    jobs.map(|job| job.run_ms.len()).sum()
+    jobs.map(|job| job.run_times_ms.len()).sum()
 }
 
 #[test]
@@ -34,7 +34,7 @@
 #[test]
 fn offered_load_is_met() {
     let plan = plan(&["--duration-s", "600", "--load", "0.8"]);
-    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_ms);
+    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_times_ms);
     let run_s: f64 = run_ms.map(|ms| f64::from(*ms) / 1e3).sum();
     let load = run_s / 600.0 / 400.0;
     assert!((0.72..0.88).contains(&load), "{load}");
@@ -47,12 +47,12 @@
         .jobs
         .iter()
         .filter(|job| !job.single)
-        .map(|job| job.run_ms.len())
+        .map(|job| job.run_times_ms.len())
         .collect();
     let mean = sizes.iter().sum::<usize>() as f64 / sizes.len() as f64;
     assert!((15.0..19.0).contains(&mean), "{mean}");
     assert!(sizes.iter().all(|size| (1..=480).contains(size)));
-    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_ms);
+    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_times_ms);
     assert!(run_ms.clone().all(|ms| (50..=5_000).contains(ms)));
     let long = run_ms.clone().filter(|ms| **ms > 1_000).count();
     let share = long as f64 / run_ms.count() as f64;
@@ -98,11 +98,12 @@
     let job = |run_ms: &[u32]| PlannedJob {
         at: Duration::ZERO,
         single: false,
-        run_ms: run_ms.to_vec(),
+        run_times_ms: run_ms.to_vec(),
         cancelled: false,
     };
     let trips = Duration::from_millis(1);
-    let ideal_ms = |run_ms: &[u32], slots| job(run_ms).ideal(slots, trips).as_millis();
+    let ideal_ms =
+        |run_ms: &[u32], slots| job(run_ms).ideal_response_time(slots, trips).as_millis();
     assert_eq!(ideal_ms(&[100, 300, 50], 400), 301);
     assert_eq!(ideal_ms(&[100; 480], 400), 121);
     assert_eq!(ideal_ms(&[100; 480], 480), 101);
@@ -125,5 +126,5 @@
     let since = after.since(&before);
     assert_eq!(since.by_kind["attempt"], 15);
     assert_eq!(since.by_kind["retry"], 4);
-    assert_eq!(since.all(), 15 + 18);
+    assert_eq!(since.total(), 15 + 18);
 }
--- a/ctl/tests/load_run.rs
+++ b/ctl/tests/load_run.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use almondhead_ctl::load;
+use almondhead_ctl::load_options::EntrySelection;
 use almondhead_ctl::load_options::LoadOptions;
-use almondhead_ctl::load_options::Via;
 use almondhead_testsupport::site::NORTH;
 use almondhead_testsupport::site::SERVICE;
 use almondhead_testsupport::site::Site;
@@ -18,7 +18,7 @@
     let matches = load::command().get_matches_from(["load", "--entry", "127.0.0.1:1"]);
     Ok(LoadOptions {
         entries: site.entries.iter().map(|entry| entry.callers).collect(),
-        operators: site.entries.iter().map(|entry| entry.operators).collect(),
+        operator_addresses: site.entries.iter().map(|entry| entry.operators).collect(),
         service: SERVICE.to_owned(),
         teams: vec![TEAM.to_owned()],
         slots: 8 * UPSTREAMS as u32,
@@ -34,10 +34,10 @@
     let mut site = smol::block_on(Site::start(UPSTREAMS))?;
     smol::block_on(site.start_entry("entry-b", NORTH, json!({})))?;
     smol::block_on(site.wait_for_siblings(1))?;
-    for via in [Via::Home, Via::Any] {
+    for entry_selection in [EntrySelection::Home, EntrySelection::RoundRobin] {
         let before = site.starts().tasks;
         let options = LoadOptions {
-            via,
+            entry_selection,
             ..options(&site)?
         };
         let report = load::offer(&options)?;
@@ -52,7 +52,11 @@
         let messages = report.messages.ok_or("no messages were read")?;
         assert_eq!(messages.by_kind["upstream_answer"], report.tasks);
         let forwards = messages.by_kind["forward"];
-        assert_eq!(forwards > 0, via == Via::Any, "{forwards} forwards");
+        assert_eq!(
+            forwards > 0,
+            entry_selection == EntrySelection::RoundRobin,
+            "{forwards} forwards"
+        );
         assert!(report.goodput > 0.0 && report.singles_over_ideal.p50 >= 0.9);
     }
     Ok(())
