--- a/ctl/src/check_command.rs
+++ b/ctl/src/check_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl check`: every fault of a document at once.
+//! `almondctl check`: lists every problem of a document.
 
 use std::fmt;
 use std::fs;
@@ -23,12 +23,12 @@
 
 const FILE: &str = "file";
 
-/// What the check of one file found.
+/// The result of checking one file.
 #[message]
 pub(crate) struct CheckReport {
-    /// The file.
+    /// The path of the file, as given.
     pub(crate) file: String,
-    /// Its faults in the order of the text; none when it is sound.
+    /// The problems in the order of the text; empty when the document is sound.
     pub(crate) problems: Vec<Problem>,
 }
 
@@ -53,7 +53,7 @@
         .arg(file_argument())
 }
 
-/// The argument that names the document's file.
+/// Returns the positional argument for the document's file.
 pub(crate) fn file_argument() -> Arg {
     Arg::new(FILE)
         .value_name("FILE")
@@ -62,13 +62,13 @@
         .value_parser(value_parser!(PathBuf))
 }
 
-/// The file that the arguments name.
+/// Returns the path given for [`file_argument`].
 pub(crate) fn file_of(arguments: &ArgMatches) -> &Path {
     let file: &PathBuf = arguments.get_one(FILE).expect("is required");
     file
 }
 
-/// Reads a document's file.
+/// Reads a document from a file.
 pub(crate) fn read_file(path: &Path) -> Result<String, CtlError> {
     fs::read_to_string(path).map_err(|source| CtlError::ReadFile {
         path: path.to_owned(),
@@ -76,7 +76,7 @@
     })
 }
 
-/// Checks the file and writes what was found.
+/// Checks the file and writes its problems.
 pub(crate) fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let path = file_of(arguments);
     let text = read_file(path)?;
@@ -84,7 +84,7 @@
     report_problems(context, path, problems)
 }
 
-/// Writes the faults of a file and tells the exit code.
+/// Writes the problems of a file and returns the exit code.
 pub(crate) fn report_problems(
     context: &Context,
     path: &Path,
--- a/ctl/src/cli.rs
+++ b/ctl/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of `almondctl` and the dispatch to its subcommands.
 
 use clap::ArgMatches;
 use clap::Command;
@@ -27,7 +27,7 @@
   almondctl --platform 10.0.0.1:9000 submit site.jsonc --expect 41 --note 'ate-03 leaves on Friday'
   almondctl --platform 10.0.0.1:9000 status";
 
-/// The program's command line.
+/// Returns the command line with every subcommand and the global options.
 pub(crate) fn command() -> Command {
     let command = Command::new("almondctl")
         .version(clap::crate_version!())
@@ -49,7 +49,7 @@
     Context::with_options(command)
 }
 
-/// Runs the subcommand that was asked for.
+/// Runs the selected subcommand.
 pub(crate) async fn dispatch(matches: &ArgMatches) -> Result<Exit, CtlError> {
     let (name, arguments) = matches.subcommand().expect("a subcommand is required");
     let context = Context::new(arguments);
--- a/ctl/src/completions_command.rs
+++ b/ctl/src/completions_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl completions`: completions for a shell.
+//! `almondctl completions`: writes a completion script for a shell.
 
 use clap::Arg;
 use clap::ArgMatches;
@@ -30,7 +30,7 @@
         )
 }
 
-/// Writes the completions.
+/// Writes the completion script.
 pub(crate) fn run(arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let shell: Shell = *arguments.get_one(SHELL).expect("is required");
     let mut script = Vec::new();
--- a/ctl/src/context.rs
+++ b/ctl/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command is given.
+//! The global options, and the clients made from them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,11 +20,11 @@
 const OUTPUT: &str = "output";
 const TIMEOUT: &str = "timeout-ms";
 
-/// The global options.
+/// The values of the global options.
 pub(crate) struct Context {
     /// How results are written.
     pub(crate) format: Format,
-    /// How long one answer is waited for.
+    /// The timeout of one request.
     pub(crate) timeout: Duration,
     platform_address: Option<SocketAddr>,
 }
@@ -71,14 +71,16 @@
         }
     }
 
-    /// The platform's client.
+    /// Returns a client of the platform.
+    ///
+    /// Fails when `--platform` is absent.
     pub(crate) fn platform(&self) -> Result<Arc<dyn Platform>, CtlError> {
         let address = self.platform_address.ok_or(CtlError::NoPlatform)?;
         let settings = HttpSettings::default();
         Ok(Arc::new(HttpPlatform::new(address, settings, self.timeout)))
     }
 
-    /// The documents' store of the platform.
+    /// Returns the document store on the platform.
     pub(crate) fn store(&self) -> Result<DocumentStore, CtlError> {
         let platform = self.platform()?;
         Ok(DocumentStore::new(platform))
--- a/ctl/src/diff_command.rs
+++ b/ctl/src/diff_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl diff`: what differs between two documents.
+//! `almondctl diff`: lists the differences between two documents.
 
 use std::fmt;
 use std::path::Path;
@@ -23,7 +23,7 @@
 const BEFORE: &str = "before";
 const AFTER: &str = "after";
 
-/// The differences of two documents.
+/// The differences between two documents.
 #[message]
 struct DiffReport {
     changes: Vec<Change>,
--- a/ctl/src/document_source.rs
+++ b/ctl/src/document_source.rs
@@ -1,4 +1,4 @@
-//! Where a document to compare comes from.
+//! Documents named on the command line by revision or file.
 
 use std::path::PathBuf;
 
@@ -13,19 +13,19 @@
 use crate::context::Context;
 use crate::error::CtlError;
 
-/// A document named on the command line.
+/// The source of a document that a command reads.
 #[value]
 pub(crate) enum DocumentSource {
     /// An accepted revision.
     Revision(u64),
     /// The newest accepted revision.
     Newest,
-    /// A file.
+    /// The file at this path.
     File(PathBuf),
 }
 
 impl DocumentSource {
-    /// Reads `head`, a revision's number, or else a file's name.
+    /// Parses `head` or a revision number; anything else is the path of a file.
     pub(crate) fn parse(argument: &str) -> Self {
         match argument.parse() {
             Ok(revision) => Self::Revision(revision),
@@ -34,7 +34,9 @@
         }
     }
 
-    /// The checked document, or its faults.
+    /// Loads and checks the document.
+    ///
+    /// The inner result is the document, or its problems.
     pub(crate) async fn load(
         &self,
         context: &Context,
@@ -54,7 +56,7 @@
     Ok(store.load(&head).await?)
 }
 
-/// The head of a revision, the newest one when none is named.
+/// Reads the head of a revision, or the newest head when `revision` is `None`.
 pub(crate) async fn find_head(
     store: &DocumentStore,
     revision: Option<u64>,
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the program.
+//! The errors of `almondctl`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::exit::Exit;
 use crate::load_error::LoadError;
 
-/// A command that could not be done.
+/// Why a command failed: the step, what it was done on, and the cause.
 #[derive(Debug, Display, Error)]
 pub(crate) enum CtlError {
     /// A file cannot be read.
@@ -21,63 +21,63 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The result cannot be written.
-    #[display("write the result: {source}")]
+    /// Standard output cannot be written.
+    #[display("write the result to standard output: {source}")]
     WriteResult {
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The console cannot listen.
-    #[display("listen at {address}: {source}")]
+    /// The console cannot listen on its address.
+    #[display("listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The draft cannot be edited as asked.
+    /// An edit of the console's draft failed.
     #[display("{source}")]
     Edit {
-        /// What was to be edited.
+        /// The edit and the cause.
         source: EditError,
     },
-    /// The command needs the platform, but its address is not given.
+    /// The command needs the platform, but `--platform` is absent.
     #[display("this command needs the platform: give its address with --platform IP:PORT")]
     NoPlatform,
     /// No document was accepted yet.
     #[display("read the head: no document was accepted yet")]
     NoDocument,
-    /// There is no such revision.
+    /// The history has no such revision.
     #[display("read the history: there is no revision {revision}")]
     NoRevision {
         /// The revision.
         revision: u64,
     },
-    /// The documents' store failed.
+    /// An operation of the document store failed.
     #[display("{source}")]
     Store {
-        /// What failed, with the step and the peer.
+        /// The failed step, the peer and the cause.
         source: Box<DocumentStoreError>,
     },
-    /// The platform's list of instances is not to be had.
+    /// The platform's list of instances cannot be read.
     #[display("{source}")]
     List {
-        /// What failed, with the step and the peer.
+        /// The failed step, the peer and the cause.
         source: Box<PlatformError>,
     },
-    /// No load could be offered.
+    /// The load could not be started or its metrics not be read.
     #[display("{source}")]
     Load {
-        /// Why not, with the step and the peer.
+        /// The failed step, the peer and the cause.
         source: LoadError,
     },
 }
 
 impl CtlError {
-    /// The exit code of the error.
+    /// Returns the exit code that reports this error.
     pub(crate) fn exit(&self) -> Exit {
         match self {
             Self::ReadFile { .. } | Self::NoPlatform => Exit::Usage,
@@ -86,10 +86,10 @@
             Self::WriteResult { .. } | Self::Listen { .. } => Exit::Usage,
             Self::Edit { .. } => Exit::Faults,
             Self::Store { source } => store_exit(source),
-            Self::List { .. } => Exit::NotReached,
+            Self::List { .. } => Exit::Unavailable,
             Self::Load { source } => match source {
                 LoadError::Option { .. } => Exit::Usage,
-                LoadError::Session { .. } | LoadError::Metrics { .. } => Exit::NotReached,
+                LoadError::Session { .. } | LoadError::Metrics { .. } => Exit::Unavailable,
             },
         }
     }
@@ -124,7 +124,7 @@
 fn store_exit(error: &DocumentStoreError) -> Exit {
     match error {
         DocumentStoreError::Platform { .. } | DocumentStoreError::Unknown { .. } => {
-            Exit::NotReached
+            Exit::Unavailable
         }
         DocumentStoreError::BadHead { .. }
         | DocumentStoreError::MissingObject { .. }
--- a/ctl/src/exit.rs
+++ b/ctl/src/exit.rs
@@ -1,25 +1,25 @@
-//! The exit codes.
+//! The exit codes of `almondctl`.
 
 use std::process::ExitCode;
 
 use almondhead_macros::key;
 
-/// How the program ends; its help lists the codes.
+/// The result of a run, by its exit code.
 #[key]
 pub(crate) enum Exit {
-    /// Done.
+    /// The command succeeded.
     Ok,
-    /// A document has faults, or an entry instance is not in the intended state.
+    /// A document has problems, or an entry instance is not ready or not at the newest revision.
     Faults,
-    /// The arguments or the files that they name cannot be used.
+    /// The arguments, or the files or revisions that they name, cannot be used.
     Usage,
-    /// Another submission was accepted before.
+    /// Another submission was accepted first.
     LostRace,
-    /// The platform, or an entry instance, did not answer as needed.
-    NotReached,
+    /// The platform or an entry instance could not be reached or answered with an error.
+    Unavailable,
 }
 
-/// The codes as the help tells them.
+/// The list of exit codes in the help texts.
 pub(crate) const EXIT_CODES_HELP: &str = "\
 Exit codes:
   0  done
@@ -35,7 +35,7 @@
             Exit::Faults => 1,
             Exit::Usage => 2,
             Exit::LostRace => 3,
-            Exit::NotReached => 4,
+            Exit::Unavailable => 4,
         };
         ExitCode::from(code)
     }
--- a/ctl/src/history_command.rs
+++ b/ctl/src/history_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl history`: who submitted which revision, and when.
+//! `almondctl history`: lists the accepted revisions with author, time and note.
 
 use std::fmt;
 
@@ -20,7 +20,7 @@
 
 const LIMIT: &str = "limit";
 
-/// The newest heads, the newest first.
+/// The heads of the newest revisions, newest first.
 #[message]
 struct HistoryReport {
     heads: Vec<Head>,
@@ -38,7 +38,7 @@
     }
 }
 
-/// One line that tells a head.
+/// Describes a head in one line: revision, author, time and note.
 pub(crate) fn head_line(head: &Head) -> String {
     let at = format_utc(head.submitted_at_unix_ms);
     let note = match head.note.as_str() {
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,4 +1,5 @@
-//! The operators' program: it checks, submits and shows the document, and asks for its state.
+//! `almondctl`, the operators' program: checks, submits and shows the document, reports the state of the
+//! entry instances, generates load and serves the console.
 
 mod check_command;
 mod cli;
@@ -34,12 +35,12 @@
 
 /// Runs the program with its arguments, the first being its own name.
 ///
-/// Results go to the standard output, errors with their step and peer to the standard error.
+/// Results go to standard output; errors, with the failed step and the peer, to standard error.
 pub fn run(arguments: impl IntoIterator<Item = OsString>) -> ExitCode {
     match cli::command().try_get_matches_from(arguments) {
         Ok(matches) => exit_code(smol::block_on(cli::dispatch(&matches))),
         Err(error) => {
-            // Nothing is left to tell where even this can't be written.
+            // A failure to write the message can't be reported anywhere.
             let _ = error.print();
             let failed = error.use_stderr();
             if failed {
--- a/ctl/src/main.rs
+++ b/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' program of almondhead.
+//! The `almondctl` binary.
 
 use std::process::ExitCode;
 
--- a/ctl/src/report.rs
+++ b/ctl/src/report.rs
@@ -1,4 +1,4 @@
-//! The results of commands, for people or as JSON.
+//! Output of command results as text or as JSON.
 
 use std::fmt::Display;
 use std::io;
@@ -11,10 +11,10 @@
 
 use crate::error::CtlError;
 
-/// How results are written.
+/// The output format of results.
 #[key]
 pub(crate) enum Format {
-    /// Lines for people.
+    /// Human-readable lines.
     Human,
     /// One JSON value.
     Json,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Writes a result to the standard output.
+/// Writes a result to standard output in the given format.
 pub(crate) fn write_report<R: Display + Serialize>(
     format: Format,
     report: &R,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Writes a text to the standard output.
+/// Writes a text to standard output and flushes it.
 pub(crate) fn write_text(text: &str) -> Result<(), CtlError> {
     let mut stdout = io::stdout().lock();
     let written = stdout.write_all(text.as_bytes());
--- a/ctl/src/schema_command.rs
+++ b/ctl/src/schema_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl schema`: the JSON Schema of the document.
+//! `almondctl schema`: writes the JSON Schema of the document.
 
 use almondhead_lib::schema::document_schema_text;
 use clap::Command;
--- a/ctl/src/show_command.rs
+++ b/ctl/src/show_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl show`: the text of a revision.
+//! `almondctl show`: writes the text of a revision.
 
 use almondhead_lib::revision::Head;
 use almondhead_macros::message;
@@ -21,7 +21,7 @@
 
 const REVISION: &str = "revision";
 
-/// A revision with its text.
+/// A revision's head and the text of its document.
 #[message]
 #[derive(derive_more::Display)]
 #[display("{text}")]
--- a/ctl/src/status_command.rs
+++ b/ctl/src/status_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl status`: which revision each entry instance has in force.
+//! `almondctl status`: reports which entry instances are ready and which revision each has in force.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -56,7 +56,7 @@
         )
 }
 
-/// Asks the entry instances and writes what they say.
+/// Probes the entry instances and writes their state.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let named: Vec<SocketAddr> = arguments
         .get_many(AT)
@@ -68,14 +68,14 @@
         true => listed_targets(context, port).await?,
         false => named.into_iter().map(named_target).collect(),
     };
-    let instances = ask_all(context, targets).await;
+    let instances = probe_all(context, targets).await;
     let report = StatusReport {
         head: head.as_ref().ok().cloned().flatten(),
         instances,
     };
     write_report(context.format, &report)?;
     head?;
-    Ok(match report.as_intended() {
+    Ok(match report.is_as_intended() {
         true => Exit::Ok,
         false => Exit::Faults,
     })
@@ -121,21 +121,21 @@
     }
 }
 
-/// Asks all at the same time, so that silent ones cost one time limit together.
-async fn ask_all(context: &Context, targets: Vec<InstanceStatus>) -> Vec<InstanceStatus> {
+/// Probes all instances concurrently, so that unresponsive ones delay the command by one timeout in all.
+async fn probe_all(context: &Context, targets: Vec<InstanceStatus>) -> Vec<InstanceStatus> {
     let timeout = context.timeout;
-    let asked: Vec<_> = targets
+    let probes: Vec<_> = targets
         .into_iter()
-        .map(|target| smol::spawn(ask(target, timeout)))
+        .map(|target| smol::spawn(probe_target(target, timeout)))
         .collect();
-    let mut answered = Vec::new();
-    for task in asked {
-        answered.push(task.await);
+    let mut instances = Vec::new();
+    for probe in probes {
+        instances.push(probe.await);
     }
-    answered
+    instances
 }
 
-async fn ask(mut target: InstanceStatus, timeout: Duration) -> InstanceStatus {
+async fn probe_target(mut target: InstanceStatus, timeout: Duration) -> InstanceStatus {
     if let Some(address) = target.address {
         let Probe {
             ready,
--- a/ctl/src/status_probe.rs
+++ b/ctl/src/status_probe.rs
@@ -1,4 +1,4 @@
-//! Asking one entry instance for its state.
+//! The probe of one entry instance's readiness and revision over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,21 +15,23 @@
 const METRICS_PATH: &str = "/metrics";
 const REVISION_METRIC: &str = "almondhead_document_revision";
 
-/// The most characters of an answer that a reason quotes.
+/// The maximum number of characters of a response body that a reason quotes.
 const MAX_REASON_CHARS: usize = 200;
 
-/// What an entry instance says of itself.
+/// The state of an entry instance as reported by its operators' listener.
 #[value]
 pub(crate) struct Probe {
-    /// Whether it is ready.
+    /// Whether `/readyz` answered 200.
     pub(crate) ready: bool,
-    /// The revision that it has in force.
+    /// The revision that it has in force; `None` when it has none or could not be read.
     pub(crate) revision: Option<u64>,
-    /// Why it is not ready or tells no revision.
+    /// Why it is not ready, or why its metrics could not be read.
     pub(crate) reason: Option<String>,
 }
 
-/// Asks an entry instance whether it is ready and which revision it has in force.
+/// Probes an entry instance for its readiness and the revision that it has in force.
+///
+/// `timeout` applies to each of the two requests.
 pub(crate) async fn probe(address: SocketAddr, timeout: Duration) -> Probe {
     let ready = get(address, READY_PATH, timeout).await;
     let reason = match &ready {
@@ -51,7 +53,7 @@
     probe
 }
 
-/// Reads a path over a connection of its own, which the peer can't have closed in the meantime.
+/// Sends a GET request over a new connection; a kept connection may have been closed by the peer.
 async fn get(address: SocketAddr, path: &str, timeout: Duration) -> Result<HttpResponse, String> {
     let client = HttpClient::new(HttpSettings::default());
     let request = HttpRequest::new(Method::GET, address, path);
@@ -68,7 +70,7 @@
     )
 }
 
-/// The revision in the text of a scrape; none for 0, which means that no document is in force.
+/// Reads the revision from the metrics; `None` for 0, which means that no document is in force.
 fn revision_of(scrape: &HttpResponse) -> Option<u64> {
     let text = std::str::from_utf8(&scrape.body).ok()?;
     let mut samples = text
--- a/ctl/src/status_report.rs
+++ b/ctl/src/status_report.rs
@@ -1,4 +1,4 @@
-//! The state of the entry instances.
+//! The report of `almondctl status`.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,36 +12,36 @@
 /// The newest revision and the state of each entry instance.
 #[message]
 pub(crate) struct StatusReport {
-    /// The head; absent when there is none or the platform does not tell.
+    /// The newest head; absent when there is none or it could not be read.
     pub(crate) head: Option<Head>,
-    /// The entry instances, in the order of the platform's list.
+    /// The entry instances, in the order of the platform's list or of the `--at` options.
     pub(crate) instances: Vec<InstanceStatus>,
 }
 
 /// The state of one entry instance.
 #[message]
 pub(crate) struct InstanceStatus {
-    /// Its name; absent for one that is not on the platform's list.
+    /// Its name in the platform's list; absent for one named with `--at`.
     pub(crate) name: Option<String>,
-    /// Its data centre, by the platform's list.
+    /// Its data centre in the platform's list.
     pub(crate) data_centre: Option<String>,
-    /// Whether the platform lists it as live or leaving.
+    /// Its state in the platform's list: live or leaving.
     pub(crate) listed_as: Option<InstanceState>,
-    /// Where it was asked; absent when the list tells no address.
+    /// The address that was probed; absent when the list has none.
     pub(crate) address: Option<SocketAddr>,
-    /// Whether it says that it is ready.
+    /// Whether `/readyz` answered 200.
     pub(crate) ready: bool,
-    /// The revision that it has in force.
+    /// The revision that it has in force; absent when it has none or could not be read.
     pub(crate) revision: Option<u64>,
-    /// Why it is not ready or tells no revision.
+    /// Why it is not ready, or why its revision could not be read.
     pub(crate) reason: Option<String>,
 }
 
 impl StatusReport {
-    /// Whether every entry instance is ready and holds the newest revision.
+    /// Whether every entry instance is ready and has the newest revision in force.
     ///
-    /// One that the platform lists as leaving need not be ready.
-    pub(crate) fn as_intended(&self) -> bool {
+    /// Instances that the platform lists as leaving are ignored.
+    pub(crate) fn is_as_intended(&self) -> bool {
         let newest = self.head.as_ref().map(|head| head.revision);
         let mut staying = self
             .instances
--- a/ctl/src/submit_command.rs
+++ b/ctl/src/submit_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl submit`: puts a document in force.
+//! `almondctl submit`: checks a document and puts it in force.
 
 use std::fmt;
 
@@ -62,7 +62,7 @@
     Arg::new(name).long(name).value_name("TEXT").help(help)
 }
 
-/// Checks the file, submits it and writes what became of it.
+/// Checks the file, submits it and writes the result.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let store = context.store()?;
     let path = file_of(arguments);
--- a/ctl/src/submitting.rs
+++ b/ctl/src/submitting.rs
@@ -1,4 +1,4 @@
-//! Submitting a checked document, and telling what a race changed.
+//! Submission of a checked document, and the comparison of the revision in force with its base.
 
 use std::env;
 use std::fmt::Write;
@@ -20,39 +20,39 @@
 
 /// A checked document to be submitted.
 pub(crate) struct NewDocument {
-    /// The text.
+    /// The document as JSON with comments.
     pub(crate) text: String,
-    /// The revision that it was made from; the newest one when absent.
+    /// The revision that the document was edited from; when absent, it replaces the newest one.
     pub(crate) expected_revision: Option<u64>,
-    /// What the submitter writes about it.
+    /// The submitter's note for the history.
     pub(crate) note: String,
-    /// Who submits it.
+    /// The submitter's name.
     pub(crate) author: String,
 }
 
-/// What became of a document that was submitted.
+/// The result of a submission.
 #[message]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub(crate) enum SubmitReport {
-    /// It is in force.
+    /// The document is in force.
     Accepted {
-        /// The head that it made.
+        /// The new head.
         head: Head,
-        /// What it changed; absent when its predecessor could not be compared.
+        /// The changes from its base; absent when the base could not be loaded or checked.
         changes: Option<Vec<Change>>,
     },
-    /// Another submission was accepted before.
+    /// Another submission was accepted first, and the head was left unchanged.
     Raced {
-        /// The revision that the document was made from.
+        /// The revision that the document was edited from.
         expected_revision: u64,
-        /// The head of now.
+        /// The head in force; absent when no document was accepted yet.
         winner: Option<Head>,
-        /// What changed since the expected revision; absent when it could not be compared.
+        /// The changes since the expected revision; absent when it could not be loaded or checked.
         changes: Option<Vec<Change>>,
     },
 }
 
-/// Submits a document and compares what is in force with the revision that it was made from.
+/// Submits a document by a compare-and-set of the head, and compares the document in force with the base.
 pub(crate) async fn submit_document(
     store: &DocumentStore,
     document: NewDocument,
@@ -85,12 +85,12 @@
     })
 }
 
-/// The name of the user who runs the program.
+/// Returns the name of the user who runs the program, from `USER`.
 pub(crate) fn default_author() -> String {
     env::var("USER").unwrap_or_else(|_| "unknown".to_owned())
 }
 
-/// What changed from a revision to a head; none when either can't be had.
+/// Returns the changes from a revision to a head, or `None` when either can't be loaded or checked.
 async fn changes_since(
     store: &DocumentStore,
     revision: u64,
@@ -104,7 +104,7 @@
     Some(document_changes(&before, &after))
 }
 
-/// A token that no other run of the program draws.
+/// Returns a random token of 128 bits in hexadecimal, unique to this submission or console.
 pub(crate) fn random_token() -> String {
     let bytes: [u8; TOKEN_BYTES] = rand::random();
     let mut token = String::new();
