--- a/ctl/tests/check_file.rs
+++ b/ctl/tests/check_file.rs
@@ -1,4 +1,4 @@
-//! `almondctl` without a platform: checks, differences, schema, completions and usage errors.
+//! `almondctl` without a platform: check, diff, schema, completions and usage errors.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use smol::block_on;
 
 #[test]
-fn sound_file() {
+fn sound_file_passes() {
     block_on(async {
         let stdout = almondctl(&["check", EXAMPLE]).await.stdout_of(0);
         assert!(stdout.ends_with("sound\n"), "{stdout}");
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn faulty_file() {
+fn faulty_file_lists_problems() {
     block_on(async {
         let directory = tempfile::tempdir().unwrap();
         let path = directory.path().join("faulty.jsonc");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn different_files() {
+fn diff_lists_changed_paths() {
     block_on(async {
         let directory = tempfile::tempdir().unwrap();
         let path = directory.path().join("edited.jsonc");
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn schema_and_completions() {
+fn schema_and_completions_are_written() {
     block_on(async {
         let schema = almondctl(&["schema"]).await.stdout_of(0);
         assert_eq!(
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn usage_errors() {
+fn usage_errors_exit_with_2() {
     block_on(async {
         let cases: [(&[&str], &str); 6] = [
             (&[], "Usage"),
--- a/ctl/tests/common/mod.rs
+++ b/ctl/tests/common/mod.rs
@@ -1,7 +1,6 @@
-//! Runs `almondctl` as a process of its own, against a platform stand-in where one is needed.
-//!
-//! Each test file uses a part of this.
+//! Runs `almondctl` as a process, against a platform stand-in where one is needed.
 
+// Each test file uses a part of this module.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -11,12 +10,13 @@
 use almondhead_testsupport::PlatformSettings;
 use almondhead_testsupport::PlatformStandIn;
 
+/// The path of an example document.
 pub(crate) const EXAMPLE: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
     "/../examples/directory-enquiries.jsonc"
 );
 
-/// What a run of the program left.
+/// The exit code and output of a finished process.
 pub(crate) struct Run {
     pub(crate) code: i32,
     pub(crate) stdout: String,
@@ -34,7 +34,7 @@
 }
 
 impl Run {
-    /// Checks the exit code and returns the standard output.
+    /// Asserts the exit code and returns the standard output.
     #[track_caller]
     pub(crate) fn stdout_of(self, code: i32) -> String {
         let (stdout, stderr) = (&self.stdout, &self.stderr);
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs the program.
+/// Runs `almondctl` with these arguments.
 pub(crate) async fn almondctl(arguments: &[&str]) -> Run {
     let mut command = Command::new(env!("CARGO_BIN_EXE_almondctl"));
     command.args(arguments);
@@ -51,7 +51,7 @@
     output.expect("the program starts").into()
 }
 
-/// Runs the program against a platform.
+/// Runs `almondctl` against the platform at this address, with a short timeout.
 pub(crate) async fn almondctl_at(platform: SocketAddr, arguments: &[&str]) -> Run {
     let address = platform.to_string();
     let options = ["--platform", address.as_str(), "--timeout-ms", "500"];
--- a/ctl/tests/console_forms.rs
+++ b/ctl/tests/console_forms.rs
@@ -1,4 +1,4 @@
-//! `almondctl console`: a document made and changed by forms alone.
+//! `almondctl console`: a document created and edited through its forms.
 
 mod common;
 
@@ -24,14 +24,14 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A running console and the client that stands for the browser.
+/// A running console, and an HTTP client in the role of the browser.
 struct Browser {
     _process: ProcessHandle,
     address: SocketAddr,
     client: HttpClient,
 }
 
-/// A page as the browser gets it.
+/// The response to a request.
 struct Answer {
     status: u16,
     location: Option<String>,
@@ -73,7 +73,7 @@
         self.client.send(request, TIMEOUT).await.unwrap().into()
     }
 
-    /// Sends the form of a page with all its values, some of them entered anew.
+    /// Submits the form of a page with its current values, `entered` replacing some of them.
     async fn send_form(&self, page: &str, entered: &[(&str, &str)]) -> Answer {
         let html = self.get(page).await.html;
         let (action, body) = filled_form(&html, entered);
@@ -81,7 +81,7 @@
     }
 }
 
-/// The action and the body of the first form of a page.
+/// Returns the action and the body of the first form of a page.
 fn filled_form(html: &str, entered: &[(&str, &str)]) -> (String, String) {
     let start = html.find("<form").expect("the page has a form");
     let end = start + html[start..].find("</form>").expect("the form ends");
@@ -129,8 +129,8 @@
     text.bytes().map(|byte| format!("%{byte:02x}")).collect()
 }
 
-/// The answer to a request that names another host, as after a changed name's address.
-async fn foreign_host_status(address: SocketAddr) -> String {
+/// Sends a request with a foreign `Host` header, as in DNS rebinding, and returns the response.
+async fn foreign_host_response(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let request = b"GET / HTTP/1.1\r\nHost: evil.example\r\nConnection: close\r\n\r\n";
     stream.write_all(request).await.unwrap();
@@ -139,7 +139,7 @@
     answer
 }
 
-async fn with_example() -> (PlatformStandIn, Browser) {
+async fn start_with_example() -> (PlatformStandIn, Browser) {
     let platform = platform().await;
     almondctl_at(platform.address(), &["submit", EXAMPLE])
         .await
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn first_document() {
+fn first_document_is_created() {
     block_on(async {
         let platform = platform().await;
         let browser = Browser::start(&platform).await;
@@ -207,9 +207,9 @@
 }
 
 #[test]
-fn errors_at_fields() {
+fn problems_are_shown_at_fields() {
     block_on(async {
-        let (_platform, browser) = with_example().await;
+        let (_platform, browser) = start_with_example().await;
         let entered = [
             ("slots", "many"),
             ("connections", "0"),
@@ -247,9 +247,9 @@
 }
 
 #[test]
-fn labels_bound() {
+fn every_input_has_one_label() {
     block_on(async {
-        let (_platform, browser) = with_example().await;
+        let (_platform, browser) = start_with_example().await;
         for page in [
             "/site",
             "/policies",
@@ -282,9 +282,9 @@
 }
 
 #[test]
-fn change_and_race() {
+fn concurrent_submission_is_reported() {
     block_on(async {
-        let (platform, browser) = with_example().await;
+        let (platform, browser) = start_with_example().await;
         let address = platform.address();
         let answer = browser
             .send_form("/lists/teams/0", &[("weight", "7")])
@@ -339,17 +339,17 @@
 }
 
 #[test]
-fn refused_requests() {
+fn invalid_requests_are_refused() {
     block_on(async {
-        let (_platform, browser) = with_example().await;
+        let (_platform, browser) = start_with_example().await;
         let page = browser.get("/lists/teams/0").await.html;
         let (action, body) = filled_form(&page, &[("name", "once")]);
         let foreign = body.replacen("%74%6f%6b%65%6e=", "%74%6f%6b%65%6e=0", 1);
         assert_eq!(browser.post(&action, foreign).await.status, 403);
         assert_eq!(browser.post(&action, body.clone()).await.status, 303);
         assert_eq!(browser.post(&action, body).await.status, 409);
-        let status = foreign_host_status(browser.address).await;
-        assert!(status.starts_with("HTTP/1.1 403"), "{status}");
+        let response = foreign_host_response(browser.address).await;
+        assert!(response.starts_with("HTTP/1.1 403"), "{response}");
         for path in [
             "/lists/teams/99",
             "/lists/nothing",
--- a/ctl/tests/instance_status.rs
+++ b/ctl/tests/instance_status.rs
@@ -1,4 +1,4 @@
-//! `almondctl status`: ready, lagging, silent and leaving entry instances.
+//! `almondctl status`: ready, outdated, unreachable and leaving entry instances.
 
 mod common;
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn listed_instances() {
+fn leaving_instance_need_not_be_ready() {
     block_on(async {
         let platform = platform().await;
         let address = platform.address();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn lagging_instance() {
+fn outdated_revision_exits_with_1() {
     block_on(async {
         let platform = platform().await;
         let address = platform.address();
@@ -76,9 +76,9 @@
                 .await
                 .stdout_of(0);
         }
-        let lagging = operator_listener("200 OK", 1).await;
+        let outdated = operator_listener("200 OK", 1).await;
         platform
-            .announce(entry("a", lagging.address(), InstanceState::Live))
+            .announce(entry("a", outdated.address(), InstanceState::Live))
             .await;
         let stdout = almondctl_at(address, &["status"]).await.stdout_of(1);
         assert!(stdout.contains("ready, revision 1"), "{stdout}");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn named_listeners() {
+fn named_listeners_are_probed_without_platform() {
     block_on(async {
         let platform = platform().await;
         platform.set_faults(PlatformFaults {
--- a/ctl/tests/load_plan.rs
+++ b/ctl/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! What a load offers, how it is told to, and how its messages are counted.
+//! The load driver's options, job plan and message counts, without processes.
 
 use std::time::Duration;
 
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn same_seed_same_jobs() {
+fn same_seed_draws_same_jobs() {
     assert_eq!(plan(&["--seed", "7"]).jobs, plan(&["--seed", "7"]).jobs);
     assert_ne!(plan(&["--seed", "7"]).jobs, plan(&["--seed", "8"]).jobs);
 }
 
 #[test]
-fn offered_load_is_met() {
+fn plan_offers_requested_load() {
     let plan = plan(&["--duration-s", "600", "--load", "0.8"]);
     let run_ms = plan.jobs.iter().flat_map(|job| &job.run_times_ms);
     let run_s: f64 = run_ms.map(|ms| f64::from(*ms) / 1e3).sum();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn sizes_fit_workload() {
+fn sizes_and_run_times_follow_workload() {
     let plan = plan(&["--duration-s", "600"]);
     let sizes: Vec<usize> = plan
         .jobs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn burst_offers_more() {
+fn burst_raises_arrival_rate() {
     let burst = ["--burst-factor", "3", "--burst-from-s", "100"];
     let plan = plan(&[&burst[..], &["--burst-for-s", "100", "--duration-s", "300"]].concat());
     let before = tasks_between(&plan, 0, 100);
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn requests_are_bounded() {
+fn request_count_is_bounded() {
     assert_eq!(plan(&["--max-requests", "25"]).jobs.len(), 25);
 }
 
 #[test]
-fn bad_options_named() {
+fn out_of_range_options_are_named() {
     let cases = [
         ("--load", "0", "load"),
         ("--duration-s", "0", "duration-s"),
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn ideal_is_bound() {
+fn ideal_response_time_is_lower_bound() {
     let job = |run_ms: &[u32]| PlannedJob {
         at: Duration::ZERO,
         single: false,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn messages_are_summed() {
+fn messages_are_summed_over_entries() {
     let mut before = MessageTotals::default();
     before.add_scrape("almondhead_messages_total{kind=\"attempt\"} 5\n");
     let mut after = MessageTotals::default();
--- a/ctl/tests/load_run.rs
+++ b/ctl/tests/load_run.rs
@@ -1,4 +1,4 @@
-//! A short load on real entry processes.
+//! `almondctl load` against real entry processes.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn load_is_counted() -> TestResult {
+fn report_matches_upstream_starts() -> TestResult {
     let mut site = smol::block_on(Site::start(UPSTREAMS))?;
     smol::block_on(site.start_entry("entry-b", NORTH, json!({})))?;
     smol::block_on(site.wait_for_siblings(1))?;
--- a/ctl/tests/submit_document.rs
+++ b/ctl/tests/submit_document.rs
@@ -1,4 +1,4 @@
-//! `almondctl submit`, `show` and `history` against a platform with and without faults.
+//! `almondctl submit`, `show` and `history` against a platform stand-in with and without faults.
 
 mod common;
 
@@ -16,8 +16,9 @@
 use smol::future::zip;
 use tempfile::TempDir;
 
-/// A copy of the example in which the first upstream has some other number of slots.
-fn edited(directory: &TempDir, slots: u32) -> String {
+/// Writes a copy of the example with another number of slots of the first upstream, and returns its
+/// path.
+fn write_edited(directory: &TempDir, slots: u32) -> String {
     let text = fs::read_to_string(EXAMPLE).unwrap();
     let path: PathBuf = directory.path().join(format!("slots-{slots}.jsonc"));
     let edited = text.replacen("\"slots\": 8", &format!("\"slots\": {slots}"), 1);
@@ -37,13 +38,13 @@
 }
 
 #[test]
-fn submit_and_show() {
+fn submitted_document_is_shown() {
     block_on(async {
         let platform = platform().await;
         let address = platform.address();
         let directory = TempDir::new().unwrap();
         submit_example(&platform).await;
-        let file = edited(&directory, 4);
+        let file = write_edited(&directory, 4);
         let arguments = ["submit", &file, "--expect", "1", "--note", "fewer slots"];
         let stdout = almondctl_at(address, &arguments).await.stdout_of(0);
         assert!(
@@ -68,11 +69,11 @@
 }
 
 #[test]
-fn faulty_document() {
+fn faulty_document_is_not_written() {
     block_on(async {
         let platform = platform().await;
         let directory = TempDir::new().unwrap();
-        let file = edited(&directory, 0);
+        let file = write_edited(&directory, 0);
         almondctl_at(platform.address(), &["submit", &file])
             .await
             .stdout_of(1);
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn racing_submitters() {
+fn only_one_concurrent_submission_wins() {
     block_on(async {
         let platform = platform().await;
         let address = platform.address();
@@ -95,7 +96,7 @@
             ..PlatformFaults::default()
         };
         platform.set_faults(slow);
-        let files = [edited(&directory, 4), edited(&directory, 6)];
+        let files = [write_edited(&directory, 4), write_edited(&directory, 6)];
         let first = ["submit", &files[0], "--expect", "1"];
         let second = ["submit", &files[1], "--expect", "1"];
         let runs = zip(
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn lost_answers() {
+fn lost_answers_are_retried_without_duplicates() {
     block_on(async {
         let platform = platform().await;
         platform.set_faults(PlatformFaults {
@@ -128,7 +129,7 @@
         });
         submit_example(&platform).await;
         let directory = TempDir::new().unwrap();
-        let file = edited(&directory, 4);
+        let file = write_edited(&directory, 4);
         let address = platform.address();
         almondctl_at(address, &["submit", &file, "--expect", "1"])
             .await
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn platform_outage() {
+fn platform_outage_exits_with_4() {
     block_on(async {
         let platform = platform().await;
         let address = platform.address();
@@ -164,7 +165,7 @@
 }
 
 #[test]
-fn nothing_listens() {
+fn refused_connection_exits_with_4() {
     block_on(async {
         let address = almondhead_testsupport::free_address().unwrap().to_string();
         let run = almondctl(&["--platform", &address, "status"]).await;
