--- a/ctl/examples/measure/main.rs
+++ b/ctl/examples/measure/main.rs
@@ -1,5 +1,5 @@
-//! Runs a whole site of real processes under load, scenario by scenario, and prints how it fared
-//! under the default policies and under a baseline.
+//! Runs a site of real processes under load, scenario by scenario, and prints the results under the
+//! default policies, the message-saving policies and a baseline.
 
 mod process_costs;
 mod row;
@@ -22,7 +22,8 @@
 
 const UPSTREAMS: &str = "upstreams";
 
-const START_TRIES: usize = 3;
+/// The maximum number of attempts to start a site.
+const MAX_START_TRIES: usize = 3;
 
 fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
@@ -74,17 +75,17 @@
 fn measure(matches: &ArgMatches) -> Result<Vec<Row>, Box<dyn Error>> {
     let seed: u64 = *matches.get_one("seed").expect("has a default");
     let duration_s: u64 = *matches.get_one("duration-s").expect("has a default");
-    let wanted = |option: &str, name: &str| {
+    let is_selected = |option: &str, name: &str| {
         let part: Option<&String> = matches.get_one(option);
         part.is_none_or(|part| name.contains(part.as_str()))
     };
     let mut rows = Vec::new();
     for scenario in Scenario::all() {
-        if !wanted("scenario", scenario.name) {
+        if !is_selected("scenario", scenario.name) {
             continue;
         }
         for policies in PolicySet::ALL {
-            if !wanted("policies", policies.name()) {
+            if !is_selected("policies", policies.name()) {
                 continue;
             }
             eprintln!("{}, {}", scenario.name, policies.name());
@@ -97,12 +98,12 @@
     Ok(rows)
 }
 
-/// Starts a site, again when another process took one of its ports meanwhile.
+/// Starts a site, and retries since another process may take one of its ports in the meantime.
 fn start_site(policies: PolicySet) -> Result<MeasuredSite, Box<dyn Error>> {
-    for _ in 1..START_TRIES {
+    for _ in 1..MAX_START_TRIES {
         match smol::block_on(MeasuredSite::start(policies)) {
             Ok(site) => return Ok(site),
-            Err(error) => eprintln!("start again: {error}"),
+            Err(error) => eprintln!("start the site, trying again: {error}"),
         }
     }
     smol::block_on(MeasuredSite::start(policies))
--- a/ctl/examples/measure/process_costs.rs
+++ b/ctl/examples/measure/process_costs.rs
@@ -1,27 +1,28 @@
-//! What the entry processes used of processor and memory, as the kernel tells.
+//! Processor time and memory of the entry processes, read from `/proc`.
 
 use std::fs;
 use std::io;
 
 use almondhead_macros::message;
 
-/// The kernel's ticks of processor time in a second.
+/// The unit of processor time in `/proc/PID/stat`, per second.
 const TICKS_PER_SECOND: f64 = 100.0;
 
+/// The page size in kibibytes.
 const PAGE_KIB: u64 = 4;
 
-/// The entry processes' use, all together.
+/// The resource usage of the entry processes.
 #[message]
 #[derive(Copy, Default)]
 pub(crate) struct ProcessCosts {
-    /// Processor time in seconds since each process started.
+    /// The processor time in seconds since the start of each process, summed over the processes.
     pub(crate) processor_s: f64,
-    /// Resident memory of the largest process in kibibytes.
+    /// The largest resident memory of a process in kibibytes.
     pub(crate) largest_resident_kib: u64,
 }
 
 impl ProcessCosts {
-    /// Adds what one process has used.
+    /// Adds the usage of the process with this id.
     pub(crate) fn add(&mut self, process: u32) -> io::Result<()> {
         let stat = fs::read_to_string(format!("/proc/{process}/stat"))?;
         let after_name = stat.rsplit(')').next().unwrap_or_default();
--- a/ctl/examples/measure/row.rs
+++ b/ctl/examples/measure/row.rs
@@ -1,22 +1,22 @@
-//! The table of results.
+//! The results table.
 
 use almondhead_ctl::load_report::LoadReport;
 use almondhead_macros::message;
 
-/// One scenario under one set of policies.
+/// The results of one scenario under one set of policies.
 #[message]
 pub(crate) struct Row {
     /// The scenario's name.
     pub(crate) scenario: String,
-    /// The policies' name.
+    /// The name of the set of policies.
     pub(crate) policies: String,
-    /// The most starts of one task that the upstreams recorded.
+    /// The maximum number of starts of one task, as recorded by the upstreams.
     pub(crate) most_starts_of_one_task: u64,
-    /// Processor time of all entries together, in microseconds for each task offered.
+    /// The processor time of all entries in microseconds per task offered.
     pub(crate) entry_us_per_task: f64,
-    /// Resident memory of the largest entry in kibibytes.
+    /// The largest resident memory of an entry in kibibytes.
     pub(crate) entry_resident_kib: u64,
-    /// What the load driver measured.
+    /// The report of the load driver.
     pub(crate) report: LoadReport,
 }
 
@@ -25,7 +25,7 @@
 | complete | not run | failed | no answer | refused in ms p99 | most starts | entry us/task | entry MiB |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// Prints the rows as a table of Markdown.
+/// Prints the rows as a Markdown table.
 pub(crate) fn print_rows(rows: &[Row]) {
     println!("{HEADER}");
     for row in rows {
@@ -45,11 +45,11 @@
         );
         print!("| {:.3} ", report.goodput_in_burst.unwrap_or(f64::NAN));
         for kind in ["complete", "not_run", "failed"] {
-            print!("| {} ", ends_of(report, kind));
+            print!("| {} ", jobs_ended(report, kind));
         }
         print!(
             "| {} ",
-            ends_of(report, "broken") + ends_of(report, "unreadable")
+            jobs_ended(report, "broken") + jobs_ended(report, "unreadable")
         );
         print!("| {:.1} ", report.refusal_ms.p99);
         print!("| {} ", row.most_starts_of_one_task);
@@ -58,9 +58,10 @@
     }
 }
 
-fn ends_of(report: &LoadReport, kind: &str) -> u64 {
-    let ends = report.ends.iter();
-    ends.filter(|(end, _)| end.split(':').next() == Some(kind))
+fn jobs_ended(report: &LoadReport, kind: &str) -> u64 {
+    let outcomes = report.ends.iter();
+    outcomes
+        .filter(|(label, _)| label.split(':').next() == Some(kind))
         .map(|(_, jobs)| jobs)
         .sum()
 }
--- a/ctl/examples/measure/scenario.rs
+++ b/ctl/examples/measure/scenario.rs
@@ -1,4 +1,4 @@
-//! What a site is put through, and by which policies it decides.
+//! The scenarios and sets of policies under which a site is measured.
 
 use std::time::Duration;
 
@@ -15,21 +15,26 @@
 
 use crate::site::MeasuredSite;
 
-/// The policies of one row.
+/// A set of policies that scenarios run under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PolicySet {
+    /// The default policies.
     ResponseTime,
+    /// The default policies, preferring fewer messages.
     FewerMessages,
+    /// Simple policies to compare with.
     Baseline,
 }
 
 impl PolicySet {
+    /// All sets, in the order of measurement.
     pub(crate) const ALL: [PolicySet; 3] = [
         PolicySet::ResponseTime,
         PolicySet::FewerMessages,
         PolicySet::Baseline,
     ];
 
+    /// Returns the name of the set in the results.
     pub(crate) fn name(self) -> &'static str {
         match self {
             PolicySet::ResponseTime => "response_time",
@@ -38,7 +43,9 @@
         }
     }
 
-    /// The baseline takes upstreams in turn, queues in order of arrival and refuses nothing.
+    /// Returns the policies.
+    ///
+    /// The baseline selects upstreams round-robin, queues in order of arrival and refuses nothing.
     pub(crate) fn policies(self) -> Policies {
         match self {
             PolicySet::ResponseTime => Policies::default(),
@@ -62,27 +69,25 @@
     }
 }
 
-/// A fault that is brought about.
+/// A fault that is injected into the site.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Fault {
+    /// No fault.
     None,
-    /// This many upstreams run each task so many times longer.
-    Slow {
-        upstreams: usize,
-        factor: f64,
-    },
-    /// This many upstreams fail each task at once.
-    Failing {
-        upstreams: usize,
-    },
-    /// One entry is killed in the middle of the load.
+    /// Some upstreams run each task longer by a factor.
+    Slow { upstreams: usize, factor: f64 },
+    /// Some upstreams fail each task at once.
+    Failing { upstreams: usize },
+    /// One entry is killed halfway through the load.
     EntryKilled,
 }
 
-/// One scenario.
+/// The load and the fault of one scenario.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
+    /// The name in the results.
     pub(crate) name: &'static str,
+    /// The fault, injected before or during the load.
     pub(crate) fault: Fault,
     load: f64,
     burst_factor: f64,
@@ -91,6 +96,7 @@
 }
 
 impl Scenario {
+    /// Returns all scenarios, in the order of measurement.
     pub(crate) fn all() -> Vec<Scenario> {
         let steady = |name, load| Scenario {
             name,
@@ -134,7 +140,7 @@
         ]
     }
 
-    /// The load on a site.
+    /// Returns the load options of the scenario for a site.
     pub(crate) fn options(
         &self,
         site: &MeasuredSite,
@@ -148,8 +154,8 @@
             duration: duration / 3,
         };
         Ok(LoadOptions {
-            entries: site.callers(),
-            operator_addresses: site.operators(),
+            entries: site.caller_addresses(),
+            operator_addresses: site.operator_addresses(),
             service: site.service().to_owned(),
             teams: site.teams(),
             slots: site.slots(),
--- a/ctl/examples/measure/site.rs
+++ b/ctl/examples/measure/site.rs
@@ -1,4 +1,4 @@
-//! The site that is measured: Guía Andina's, with every process on this machine.
+//! The measured site: the directory-enquiries example with every process on this machine.
 
 use std::error::Error;
 use std::ffi::OsString;
@@ -31,17 +31,20 @@
 
 const EXAMPLE: &str = "../examples/directory-enquiries.jsonc";
 
-/// The path of the stand-ins that runs a task.
+/// The path at which the upstream stand-ins run tasks.
 const TASK_PATH: &str = "/v1/tasks";
 
+/// The maximum number of upstream stand-ins in one process.
 const UPSTREAMS_PER_PROCESS: usize = 10;
 
+/// The time in which a process of upstream stand-ins must start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Tasks that are sent before the load, so that run times are known and connections open.
+/// The duration of the load before the measurement, after which run times are known and
+/// connections open.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// A platform, the upstreams and the entries of one document.
+/// The running platform, upstreams and entries of one document.
 pub(crate) struct MeasuredSite {
     site: Site,
     document: Document,
@@ -49,7 +52,7 @@
 }
 
 impl MeasuredSite {
-    /// Starts everything and waits until every entry has heard from every other.
+    /// Starts all processes and waits until every entry has received a message from every other.
     pub(crate) async fn start(policies: PolicySet) -> Result<Self, Box<dyn Error>> {
         let mut document = example_document()?;
         document.policies = policies.policies();
@@ -70,40 +73,45 @@
         })
     }
 
-    pub(crate) fn callers(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses at which the entries serve callers.
+    pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.site.entries.iter();
         entries.map(|entry| entry.callers).collect()
     }
 
-    pub(crate) fn operators(&self) -> Vec<SocketAddr> {
+    /// Returns the addresses of the entries' operators' listeners.
+    pub(crate) fn operator_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.site.entries.iter();
         entries.map(|entry| entry.operators).collect()
     }
 
-    /// What the entries that still run have used.
+    /// Returns the resource usage of the entries that still run.
     pub(crate) fn entry_costs(&self) -> ProcessCosts {
         let mut costs = ProcessCosts::default();
         for entry in &self.site.entries {
-            // A killed entry has no figures.
+            // A killed entry has no `/proc` files.
             let _ = costs.add(entry.process.id());
         }
         costs
     }
 
+    /// Returns the name of the first service, which the load uses.
     pub(crate) fn service(&self) -> &str {
         &self.document.services[0].name
     }
 
+    /// Returns the names of all teams.
     pub(crate) fn teams(&self) -> Vec<String> {
         let teams = self.document.teams.iter();
         teams.map(|team| team.name.clone()).collect()
     }
 
+    /// Returns the total number of slots of all upstreams.
     pub(crate) fn slots(&self) -> u32 {
         self.document.upstreams.iter().map(|u| u.slots).sum()
     }
 
-    /// Offers a load with the scenario's fault.
+    /// Runs a warm-up load, then the measured load with the scenario's fault.
     pub(crate) fn offer(
         &mut self,
         scenario: &Scenario,
@@ -117,9 +125,9 @@
             seed: options.seed.wrapping_add(1),
             ..options.clone()
         })?;
-        smol::block_on(self.bring_about(scenario.fault))?;
+        smol::block_on(self.inject(scenario.fault))?;
         if scenario.fault == Fault::EntryKilled {
-            // The metrics of an entry that is gone cannot be read after the load.
+            // The metrics of a killed entry can't be read after the load.
             options.operator_addresses.clear();
         }
         let kill_after = options.duration / 2;
@@ -132,7 +140,7 @@
         Ok(report?)
     }
 
-    async fn bring_about(&self, fault: Fault) -> Result<(), Box<dyn Error>> {
+    async fn inject(&self, fault: Fault) -> Result<(), Box<dyn Error>> {
         let (upstreams, faults) = match fault {
             Fault::None | Fault::EntryKilled => return Ok(()),
             Fault::Slow { upstreams, factor } => (upstreams, json!({ "slow_factor": factor })),
@@ -146,7 +154,7 @@
         Ok(())
     }
 
-    /// The most starts of one task over all upstreams, by their own records.
+    /// Returns the maximum number of starts of one task over all upstreams, as recorded by them.
     pub(crate) async fn most_starts_of_one_task(&self) -> Result<u64, Box<dyn Error>> {
         let mut starts = indexmap::IndexMap::<String, u64>::new();
         for upstream in &self.document.upstreams {
@@ -172,7 +180,7 @@
 impl Drop for MeasuredSite {
     fn drop(&mut self) {
         for upstream in &mut self.upstreams {
-            // It ends with its handle at the latest.
+            // Dropping the handle ends the process if this fails.
             let _ = upstream.kill9();
         }
     }
@@ -188,7 +196,7 @@
     Ok(document)
 }
 
-/// Starts the document's upstreams, some to a process, and writes their addresses into it.
+/// Starts the document's upstreams in shared processes, and stores their addresses in it.
 async fn start_upstreams(document: &mut Document) -> Result<Vec<ProcessHandle>, Box<dyn Error>> {
     let program = std::env::current_exe()?;
     let mut processes = Vec::new();
--- a/ctl/examples/measure/upstreams.rs
+++ b/ctl/examples/measure/upstreams.rs
@@ -1,17 +1,17 @@
-//! Some upstream stand-ins in one process.
+//! The subcommand that runs several upstream stand-ins in one process.
 
 use std::error::Error;
 
 use almondhead_testsupport::UpstreamSettings;
 use almondhead_testsupport::UpstreamStandIn;
 
-/// The last line that the process writes when all listen.
+/// The line that is printed once all stand-ins listen.
 pub(crate) const ALL_LISTEN: &str = "all listen";
 
-/// What stands before each address.
+/// The prefix of the line that is printed with each stand-in's address.
 pub(crate) const LISTENING: &str = "listening ";
 
-/// Runs `count` upstreams until the process is ended.
+/// Runs `count` upstream stand-ins until the process is killed.
 pub(crate) async fn serve(count: usize) -> Result<(), Box<dyn Error>> {
     let mut upstreams = Vec::new();
     for _ in 0..count {
