--- a/ctl/src/console/draft.rs
+++ b/ctl/src/console/draft.rs
@@ -142,8 +142,8 @@
 
     /// Sets the fields of the object at a pointer whose values the form changed.
     ///
-    /// Input that does not parse as its field's type is stored as a string, so that the check reports
-    /// it and the form shows it again.
+    /// Input that does not parse as its field's type is stored as a string, so that the check
+    /// reports it and the form shows it again.
     pub(crate) fn apply(
         &mut self,
         pointer: &str,
--- a/ctl/src/console/field.rs
+++ b/ctl/src/console/field.rs
@@ -80,7 +80,7 @@
     fields_of(resolve_reference(&SCHEMA["properties"]["policies"]))
 }
 
-/// Returns the fields of a schema's properties, the required ones first, each group in schema order.
+/// Returns the fields of a schema's properties in schema order, the required ones first.
 fn fields_of(definition: &'static Json) -> Vec<Field> {
     let Some(properties) = definition["properties"].as_object() else {
         return Vec::new();
--- a/ctl/src/console/form_values.rs
+++ b/ctl/src/console/form_values.rs
@@ -17,7 +17,7 @@
         FormValues(decoded.collect())
     }
 
-    /// Returns the value of a field; `None` where the browser sent none, as for an unchecked checkbox.
+    /// Returns the value of a field; `None` if the browser sent none, as for an unchecked checkbox.
     pub(crate) fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
--- a/ctl/src/console/pages.rs
+++ b/ctl/src/console/pages.rs
@@ -17,13 +17,13 @@
 use super::html::escape;
 use super::section::Section;
 use crate::error::CtlError;
-use crate::history_command::head_line;
+use crate::history_command::describe_head;
 use crate::submitting::SubmitReport;
 
 /// Renders the state of the draft, with the number of elements of each list.
 pub(crate) fn draft_page(draft: &Draft, hidden_fields: HiddenFields<'_>) -> Page {
     let from = match &draft.base {
-        Some(head) => format!("Made from {}.", head_line(head)),
+        Some(head) => format!("Made from {}.", describe_head(head)),
         None => "No document was accepted yet; this is the first one.".to_owned(),
     };
     let state = match draft.is_edited() {
@@ -100,7 +100,7 @@
 pub(crate) fn submitted_page(report: &SubmitReport, hidden_fields: HiddenFields<'_>) -> Page {
     match report {
         SubmitReport::Accepted { head, changes } => {
-            let line = escape(&head_line(head));
+            let line = escape(&describe_head(head));
             let changes = changes_html(changes.as_deref(), head.revision - 1);
             let body =
                 format!("<p class=\"done\" role=\"status\">Accepted as {line}.</p>\n{changes}");
@@ -111,7 +111,7 @@
             winner,
             changes,
         } => {
-            let winner = winner.as_ref().map(head_line).unwrap_or_default();
+            let winner = winner.as_ref().map(describe_head).unwrap_or_default();
             let winner = escape(&winner);
             let changes = changes_html(changes.as_deref(), *expected_revision);
             let again = button_form(
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -40,7 +40,7 @@
     },
     /// An edit of the console's draft failed.
     #[display("{source}")]
-    Edit {
+    EditDraft {
         /// The edit and the cause.
         source: EditError,
     },
@@ -64,7 +64,7 @@
     },
     /// The platform's list of instances cannot be read.
     #[display("{source}")]
-    List {
+    ListInstances {
         /// The failed step, the peer and the cause.
         source: Box<PlatformError>,
     },
@@ -84,12 +84,12 @@
             Self::NoDocument | Self::NoRevision { .. } => Exit::Usage,
             Self::WriteResult { source } if source.kind() == io::ErrorKind::BrokenPipe => Exit::Ok,
             Self::WriteResult { .. } | Self::Listen { .. } => Exit::Usage,
-            Self::Edit { .. } => Exit::Faults,
+            Self::EditDraft { .. } => Exit::Faults,
             Self::Store { source } => store_exit(source),
-            Self::List { .. } => Exit::Unavailable,
+            Self::ListInstances { .. } => Exit::Unavailable,
             Self::Load { source } => match source {
-                LoadError::Option { .. } => Exit::Usage,
-                LoadError::Session { .. } | LoadError::Metrics { .. } => Exit::Unavailable,
+                LoadError::InvalidOption { .. } => Exit::Usage,
+                LoadError::OpenSession { .. } | LoadError::ReadMetrics { .. } => Exit::Unavailable,
             },
         }
     }
@@ -104,14 +104,14 @@
 
 impl From<EditError> for CtlError {
     fn from(source: EditError) -> Self {
-        Self::Edit { source }
+        Self::EditDraft { source }
     }
 }
 
 impl From<PlatformError> for CtlError {
     fn from(source: PlatformError) -> Self {
         let source = Box::new(source);
-        Self::List { source }
+        Self::ListInstances { source }
     }
 }
 
--- a/ctl/src/history_command.rs
+++ b/ctl/src/history_command.rs
@@ -32,14 +32,14 @@
             writeln!(formatter, "no document was accepted yet")?;
         }
         for head in &self.heads {
-            writeln!(formatter, "{}", head_line(head))?;
+            writeln!(formatter, "{}", describe_head(head))?;
         }
         Ok(())
     }
 }
 
 /// Describes a head in one line: revision, author, time and note.
-pub(crate) fn head_line(head: &Head) -> String {
+pub(crate) fn describe_head(head: &Head) -> String {
     let at = format_utc(head.submitted_at_unix_ms);
     let note = match head.note.as_str() {
         "" => String::new(),
--- a/ctl/src/lib.rs
+++ b/ctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! `almondctl`, the operators' program: checks, submits and shows the document, reports the state of the
-//! entry instances, generates load and serves the console.
+//! `almondctl`, the operators' program: checks, submits and shows the document, reports the state
+//! of the entry instances, generates load and serves the console.
 
 mod check_command;
 mod cli;
--- a/ctl/src/load.rs
+++ b/ctl/src/load.rs
@@ -1,4 +1,5 @@
-//! `almondctl load`: submits jobs to entry instances at a fixed average rate and reports response times.
+//! `almondctl load`: submits jobs to entry instances at a configured rate and reports how they
+//! ended.
 
 use std::sync::Arc;
 
--- a/ctl/src/load_driver.rs
+++ b/ctl/src/load_driver.rs
@@ -32,8 +32,9 @@
 const MAX_RETRIES: u32 = 5;
 
 /// The time beyond the job's timeout that a response is awaited.
-const ANSWER_GRACE: Duration = Duration::from_secs(5);
+const RESPONSE_GRACE: Duration = Duration::from_secs(5);
 
+/// The timeout of opening a session.
 const SESSION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A client that submits jobs over kept-alive connections to every entry.
@@ -43,7 +44,7 @@
     executor: Executor<'static>,
 }
 
-/// An open session of the caller interface.
+/// An open session, and the number of the last job submitted in it.
 struct Session {
     entry: SocketAddr,
     token: String,
@@ -56,6 +57,7 @@
 }
 
 impl LoadDriver {
+    /// Creates a driver without open connections.
     pub(crate) fn new(options: &LoadOptions) -> Self {
         let settings = HttpSettings {
             connections: options.connections,
@@ -68,6 +70,7 @@
         }
     }
 
+    /// Returns the HTTP client, which also reads the metrics.
     pub(crate) fn client(&self) -> &HttpClient {
         &self.client
     }
@@ -120,7 +123,7 @@
     }
 
     async fn open_session(&self, entry: SocketAddr) -> Result<Session, LoadError> {
-        let failed = |reason: String| LoadError::Session { entry, reason };
+        let failed = |reason: String| LoadError::OpenSession { entry, reason };
         let request = HttpRequest::new(Method::POST, entry, "/v1/sessions");
         let answer = self.client.send(request, SESSION_TIMEOUT).await;
         let answer = answer.map_err(|error| failed(error.to_string()))?;
@@ -181,7 +184,7 @@
         started: Instant,
     ) -> JobOutcome {
         let request = self.job_request(sessions, job_index, job);
-        let timeout = self.options.timeout + ANSWER_GRACE;
+        let timeout = self.options.timeout + RESPONSE_GRACE;
         let cancelling = HttpRequest::new(Method::DELETE, request.address, request.path.clone());
         let sending = self.client.send(request, timeout);
         let cancel_at = self.options.cancel_at.filter(|_| job.cancelled);
--- a/ctl/src/load_error.rs
+++ b/ctl/src/load_error.rs
@@ -11,7 +11,7 @@
 pub enum LoadError {
     /// The value of an option is outside its range.
     #[display("--{option} must be {expected}")]
-    Option {
+    InvalidOption {
         /// The option's name, without dashes.
         option: &'static str,
         /// The allowed values.
@@ -19,7 +19,7 @@
     },
     /// A session could not be opened.
     #[display("open a session at {entry}: {reason}")]
-    Session {
+    OpenSession {
         /// The entry's address for callers.
         entry: SocketAddr,
         /// The cause.
@@ -27,7 +27,7 @@
     },
     /// The metrics of an entry could not be read.
     #[display("read the metrics: {source}")]
-    Metrics {
+    ReadMetrics {
         /// The failed exchange.
         source: ExchangeError,
     },
--- a/ctl/src/load_options.rs
+++ b/ctl/src/load_options.rs
@@ -44,7 +44,7 @@
 pub struct LoadOptions {
     /// The addresses at which the entry instances serve callers.
     pub entries: Vec<SocketAddr>,
-    /// The addresses of the operators' listeners, which serve metrics; no metrics are read when empty.
+    /// The addresses of the operators' listeners, which serve metrics; none are read when empty.
     pub operator_addresses: Vec<SocketAddr>,
     /// The service that runs the tasks.
     pub service: String,
@@ -106,7 +106,7 @@
     ///
     /// # Errors
     ///
-    /// [`LoadError::Option`] for a value outside its range.
+    /// [`LoadError::InvalidOption`] for a value outside its range.
     pub fn from_matches(matches: &ArgMatches) -> Result<Self, LoadError> {
         let burst_factor = positive(matches, "burst-factor")?;
         let burst = Burst {
@@ -271,7 +271,7 @@
     let value: u64 = first(matches, option);
     let in_range = (min..=max).contains(&value).then_some(value);
     let converted = in_range.and_then(|value| T::try_from(value).ok());
-    converted.ok_or(LoadError::Option {
+    converted.ok_or(LoadError::InvalidOption {
         option,
         expected: "at least 1 and at most the limit of this option",
     })
@@ -281,7 +281,7 @@
     let value: f64 = first(matches, option);
     match value.is_finite() && value > 0.0 {
         true => Ok(value),
-        false => Err(LoadError::Option {
+        false => Err(LoadError::InvalidOption {
             option,
             expected: "a number above zero",
         }),
@@ -292,7 +292,7 @@
     let value: f64 = first(matches, option);
     match (0.0..=1.0).contains(&value) {
         true => Ok(value),
-        false => Err(LoadError::Option {
+        false => Err(LoadError::InvalidOption {
             option,
             expected: "between 0 and 1",
         }),
--- a/ctl/src/load_plan.rs
+++ b/ctl/src/load_plan.rs
@@ -49,7 +49,8 @@
     pub single: bool,
     /// The run time of each task in milliseconds.
     pub run_times_ms: Vec<u32>,
-    /// Whether it is cancelled if it is open at the time of the cancellations.
+    /// Whether it is cancelled if it is open at the time of the cancellations; single tasks never
+    /// are.
     pub cancelled: bool,
 }
 
@@ -63,8 +64,8 @@
 impl PlannedJob {
     /// Returns a lower bound of the response time, reached on idle upstreams.
     ///
-    /// It is the time of the round trips plus the longest run time, or plus the total run time divided by
-    /// the slots where that is longer.
+    /// This is the time of the round trips plus the longest run time, or plus the total run time
+    /// divided by the slots where that is longer.
     pub fn ideal_response_time(&self, slots: u32, round_trips: Duration) -> Duration {
         let longest_ms = self.run_times_ms.iter().copied().max().unwrap_or(0);
         let sum_ms: f64 = self.run_times_ms.iter().copied().map(f64::from).sum();
--- a/ctl/src/load_report.rs
+++ b/ctl/src/load_report.rs
@@ -65,7 +65,7 @@
     pub followed_complete: u64,
     /// The number of jobs that were sent again after a refusal.
     pub followed: u64,
-    /// The run time of complete jobs while jobs were offered, as a share of the capacity of the slots.
+    /// The run time of complete jobs while jobs were offered, as a share of the slots' capacity.
     pub goodput: f64,
     /// The same during the burst; absent when there was none.
     pub goodput_in_burst: Option<f64>,
@@ -127,7 +127,7 @@
     sample.response_time.as_secs_f64() / ideal.as_secs_f64()
 }
 
-/// Returns the run time of complete jobs within a window, as a share of the capacity of the slots.
+/// Returns the run time of complete jobs within a window, as a share of the slots' capacity.
 ///
 /// A job is assumed to have run for its ideal response time up to its response.
 fn goodput(
--- a/ctl/src/load_scrape.rs
+++ b/ctl/src/load_scrape.rs
@@ -15,6 +15,7 @@
 /// The kind of retries, whose messages are also counted as attempts.
 const RETRY_KIND: &str = "retry";
 
+/// The timeout of reading one entry's metrics.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Message counts by kind, summed over entries.
@@ -64,7 +65,7 @@
     for address in operator_addresses {
         let request = HttpRequest::new(Method::GET, *address, "/metrics");
         let answer = client.send(request, SCRAPE_TIMEOUT).await;
-        let answer = answer.map_err(|source| LoadError::Metrics { source })?;
+        let answer = answer.map_err(|source| LoadError::ReadMetrics { source })?;
         totals.add_scrape(&String::from_utf8_lossy(&answer.body));
     }
     Ok((!operator_addresses.is_empty()).then_some(totals))
--- a/ctl/src/show_command.rs
+++ b/ctl/src/show_command.rs
@@ -11,7 +11,7 @@
 use crate::document_source::find_head;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::history_command::head_line;
+use crate::history_command::describe_head;
 use crate::report::Format;
 use crate::report::write_report;
 use crate::report::write_text;
@@ -53,7 +53,7 @@
     let text = store.load(&head).await?;
     match context.format {
         Format::Human => {
-            eprintln!("{}", head_line(&head));
+            eprintln!("{}", describe_head(&head));
             write_text(&text)?;
         }
         Format::Json => write_report(context.format, &ShowReport { head, text })?,
--- a/ctl/src/status_command.rs
+++ b/ctl/src/status_command.rs
@@ -1,4 +1,5 @@
-//! `almondctl status`: reports which entry instances are ready and which revision each has in force.
+//! `almondctl status`: reports which entry instances are ready, and which revision each has in
+//! force.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +16,7 @@
 use crate::error::CtlError;
 use crate::exit::Exit;
 use crate::report::write_report;
-use crate::status_probe::Probe;
+use crate::status_probe::ProbeResult;
 use crate::status_probe::probe;
 use crate::status_report::InstanceStatus;
 use crate::status_report::StatusReport;
@@ -57,6 +58,8 @@
 }
 
 /// Probes the entry instances and writes their state.
+///
+/// The report is also written when the head can't be read; the command fails afterwards.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let named: Vec<SocketAddr> = arguments
         .get_many(AT)
@@ -121,7 +124,7 @@
     }
 }
 
-/// Probes all instances concurrently, so that unresponsive ones delay the command by one timeout in all.
+/// Probes all instances concurrently, so that unresponsive ones delay the command only once.
 async fn probe_all(context: &Context, targets: Vec<InstanceStatus>) -> Vec<InstanceStatus> {
     let timeout = context.timeout;
     let probes: Vec<_> = targets
@@ -137,7 +140,7 @@
 
 async fn probe_target(mut target: InstanceStatus, timeout: Duration) -> InstanceStatus {
     if let Some(address) = target.address {
-        let Probe {
+        let ProbeResult {
             ready,
             revision,
             reason,
--- a/ctl/src/status_probe.rs
+++ b/ctl/src/status_probe.rs
@@ -20,7 +20,7 @@
 
 /// The state of an entry instance as reported by its operators' listener.
 #[value]
-pub(crate) struct Probe {
+pub(crate) struct ProbeResult {
     /// Whether `/readyz` answered 200.
     pub(crate) ready: bool,
     /// The revision that it has in force; `None` when it has none or could not be read.
@@ -32,25 +32,25 @@
 /// Probes an entry instance for its readiness and the revision that it has in force.
 ///
 /// `timeout` applies to each of the two requests.
-pub(crate) async fn probe(address: SocketAddr, timeout: Duration) -> Probe {
+pub(crate) async fn probe(address: SocketAddr, timeout: Duration) -> ProbeResult {
     let ready = get(address, READY_PATH, timeout).await;
     let reason = match &ready {
         Ok(answer) if answer.status == StatusCode::OK => None,
         Ok(answer) => Some(not_ready_reason(answer)),
         Err(reason) => Some(reason.clone()),
     };
-    let mut probe = Probe {
+    let mut result = ProbeResult {
         ready: reason.is_none(),
         revision: None,
         reason,
     };
     if ready.is_ok() {
         match get(address, METRICS_PATH, timeout).await {
-            Ok(answer) => probe.revision = revision_of(&answer),
-            Err(reason) => probe.reason = probe.reason.or(Some(reason)),
+            Ok(answer) => result.revision = parse_revision(&answer),
+            Err(reason) => result.reason = result.reason.or(Some(reason)),
         }
     }
-    probe
+    result
 }
 
 /// Sends a GET request over a new connection; a kept connection may have been closed by the peer.
@@ -71,7 +71,7 @@
 }
 
 /// Reads the revision from the metrics; `None` for 0, which means that no document is in force.
-fn revision_of(scrape: &HttpResponse) -> Option<u64> {
+fn parse_revision(scrape: &HttpResponse) -> Option<u64> {
     let text = std::str::from_utf8(&scrape.body).ok()?;
     let mut samples = text
         .lines()
--- a/ctl/src/status_report.rs
+++ b/ctl/src/status_report.rs
@@ -7,7 +7,7 @@
 use almondhead_macros::message;
 use almondhead_net::InstanceState;
 
-use crate::history_command::head_line;
+use crate::history_command::describe_head;
 
 /// The newest revision and the state of each entry instance.
 #[message]
@@ -54,7 +54,7 @@
 impl fmt::Display for StatusReport {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.head {
-            Some(head) => writeln!(formatter, "{}", head_line(head))?,
+            Some(head) => writeln!(formatter, "{}", describe_head(head))?,
             None => writeln!(formatter, "the newest revision is not known")?,
         }
         for instance in &self.instances {
--- a/ctl/src/submit_command.rs
+++ b/ctl/src/submit_command.rs
@@ -17,7 +17,7 @@
 use crate::diff_command::write_changes;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::history_command::head_line;
+use crate::history_command::describe_head;
 use crate::report::write_report;
 use crate::submitting::NewDocument;
 use crate::submitting::SubmitReport;
@@ -92,8 +92,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Accepted { head, changes } => {
-                writeln!(formatter, "accepted as {}", head_line(head))?;
-                write_known_changes(formatter, head.revision - 1, changes.as_deref())
+                writeln!(formatter, "accepted as {}", describe_head(head))?;
+                write_changes_since(formatter, head.revision - 1, changes.as_deref())
             }
             Self::Raced {
                 expected_revision,
@@ -102,16 +102,16 @@
             } => {
                 writeln!(formatter, "not accepted, and nothing was changed")?;
                 match winner {
-                    Some(head) => writeln!(formatter, "in force is {}", head_line(head))?,
+                    Some(head) => writeln!(formatter, "in force is {}", describe_head(head))?,
                     None => writeln!(formatter, "no document was accepted yet")?,
                 }
-                write_known_changes(formatter, *expected_revision, changes.as_deref())
+                write_changes_since(formatter, *expected_revision, changes.as_deref())
             }
         }
     }
 }
 
-fn write_known_changes(
+fn write_changes_since(
     formatter: &mut fmt::Formatter<'_>,
     revision: u64,
     changes: Option<&[Change]>,
--- a/ctl/src/submitting.rs
+++ b/ctl/src/submitting.rs
@@ -52,7 +52,8 @@
     },
 }
 
-/// Submits a document by a compare-and-set of the head, and compares the document in force with the base.
+/// Submits a document by a compare-and-set of the head, and compares the document then in force
+/// with the base.
 pub(crate) async fn submit_document(
     store: &DocumentStore,
     document: NewDocument,
