--- a/ctl/examples/measure/process_costs.rs
+++ b/ctl/examples/measure/process_costs.rs
@@ -5,7 +5,7 @@
 
 use almondhead_macros::message;
 
-/// The unit of processor time in `/proc/PID/stat`, per second.
+/// Clock ticks per second, the unit of processor time in `/proc/PID/stat`.
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// The page size in kibibytes.
