--- a/ctl/src/history_command.rs
+++ b/ctl/src/history_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl history`: who submitted which revision, and when.
+//! `almondctl history`: lists the accepted revisions with author, time and note.
 
 use std::fmt;
 
@@ -20,7 +20,7 @@
 
 const LIMIT: &str = "limit";
 
-/// The newest heads, the newest first.
+/// The heads of the newest revisions, newest first.
 #[message]
 struct HistoryReport {
     heads: Vec<Head>,
@@ -32,14 +32,14 @@
             writeln!(formatter, "no document was accepted yet")?;
         }
         for head in &self.heads {
-            writeln!(formatter, "{}", head_line(head))?;
+            writeln!(formatter, "{}", describe_head(head))?;
         }
         Ok(())
     }
 }
 
-/// One line that tells a head.
-pub(crate) fn head_line(head: &Head) -> String {
+/// Describes a head in one line: revision, author, time and note.
+pub(crate) fn describe_head(head: &Head) -> String {
     let at = format_utc(head.submitted_at_unix_ms);
     let note = match head.note.as_str() {
         "" => String::new(),
--- a/ctl/src/show_command.rs
+++ b/ctl/src/show_command.rs
@@ -1,4 +1,4 @@
-//! `almondctl show`: the text of a revision.
+//! `almondctl show`: writes the text of a revision.
 
 use almondhead_lib::revision::Head;
 use almondhead_macros::message;
@@ -11,7 +11,7 @@
 use crate::document_source::find_head;
 use crate::error::CtlError;
 use crate::exit::Exit;
-use crate::history_command::head_line;
+use crate::history_command::describe_head;
 use crate::report::Format;
 use crate::report::write_report;
 use crate::report::write_text;
@@ -21,7 +21,7 @@
 
 const REVISION: &str = "revision";
 
-/// A revision with its text.
+/// A revision's head and the text of its document.
 #[message]
 #[derive(derive_more::Display)]
 #[display("{text}")]
@@ -53,7 +53,7 @@
     let text = store.load(&head).await?;
     match context.format {
         Format::Human => {
-            eprintln!("{}", head_line(&head));
+            eprintln!("{}", describe_head(&head));
             write_text(&text)?;
         }
         Format::Json => write_report(context.format, &ShowReport { head, text })?,
--- a/ctl/src/status_probe.rs
+++ b/ctl/src/status_probe.rs
@@ -1,4 +1,4 @@
-//! Asking one entry instance for its state.
+//! The probe of one entry instance's readiness and revision over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,43 +15,45 @@
 const METRICS_PATH: &str = "/metrics";
 const REVISION_METRIC: &str = "almondhead_document_revision";
 
-/// The most characters of an answer that a reason quotes.
+/// The maximum number of characters of a response body that a reason quotes.
 const MAX_REASON_CHARS: usize = 200;
 
-/// What an entry instance says of itself.
+/// The state of an entry instance as reported by its operators' listener.
 #[value]
-pub(crate) struct Probe {
-    /// Whether it is ready.
+pub(crate) struct ProbeResult {
+    /// Whether `/readyz` answered 200.
     pub(crate) ready: bool,
-    /// The revision that it has in force.
+    /// The revision that it has in force; `None` when it has none or could not be read.
     pub(crate) revision: Option<u64>,
-    /// Why it is not ready or tells no revision.
+    /// Why it is not ready, or why its metrics could not be read.
     pub(crate) reason: Option<String>,
 }
 
-/// Asks an entry instance whether it is ready and which revision it has in force.
-pub(crate) async fn probe(address: SocketAddr, timeout: Duration) -> Probe {
+/// Probes an entry instance for its readiness and the revision that it has in force.
+///
+/// `timeout` applies to each of the two requests.
+pub(crate) async fn probe(address: SocketAddr, timeout: Duration) -> ProbeResult {
     let ready = get(address, READY_PATH, timeout).await;
     let reason = match &ready {
         Ok(answer) if answer.status == StatusCode::OK => None,
         Ok(answer) => Some(not_ready_reason(answer)),
         Err(reason) => Some(reason.clone()),
     };
-    let mut probe = Probe {
+    let mut result = ProbeResult {
         ready: reason.is_none(),
         revision: None,
         reason,
     };
     if ready.is_ok() {
         match get(address, METRICS_PATH, timeout).await {
-            Ok(answer) => probe.revision = revision_of(&answer),
-            Err(reason) => probe.reason = probe.reason.or(Some(reason)),
+            Ok(answer) => result.revision = parse_revision(&answer),
+            Err(reason) => result.reason = result.reason.or(Some(reason)),
         }
     }
-    probe
+    result
 }
 
-/// Reads a path over a connection of its own, which the peer can't have closed in the meantime.
+/// Sends a GET request over a new connection; a kept connection may have been closed by the peer.
 async fn get(address: SocketAddr, path: &str, timeout: Duration) -> Result<HttpResponse, String> {
     let client = HttpClient::new(HttpSettings::default());
     let request = HttpRequest::new(Method::GET, address, path);
@@ -68,8 +70,8 @@
     )
 }
 
-/// The revision in the text of a scrape; none for 0, which means that no document is in force.
-fn revision_of(scrape: &HttpResponse) -> Option<u64> {
+/// Reads the revision from the metrics; `None` for 0, which means that no document is in force.
+fn parse_revision(scrape: &HttpResponse) -> Option<u64> {
     let text = std::str::from_utf8(&scrape.body).ok()?;
     let mut samples = text
         .lines()
--- a/ctl/tests/load_plan.rs
+++ b/ctl/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! What a load offers, how it is told to, and how its messages are counted.
+//! The load driver's options, job plan and message counts, without processes.
 
 use std::time::Duration;
 
@@ -22,37 +22,37 @@
 fn tasks_between(plan: &LoadPlan, from_s: u64, to_s: u64) -> usize {
     let within = Duration::from_secs(from_s)..Duration::from_secs(to_s);
     let jobs = plan.jobs.iter().filter(|job| within.contains(&job.at));
-    jobs.map(|job| job.run_ms.len()).sum()
+    jobs.map(|job| job.run_times_ms.len()).sum()
 }
 
 #[test]
-fn same_seed_same_jobs() {
+fn same_seed_draws_same_jobs() {
     assert_eq!(plan(&["--seed", "7"]).jobs, plan(&["--seed", "7"]).jobs);
     assert_ne!(plan(&["--seed", "7"]).jobs, plan(&["--seed", "8"]).jobs);
 }
 
 #[test]
-fn offered_load_is_met() {
+fn plan_offers_requested_load() {
     let plan = plan(&["--duration-s", "600", "--load", "0.8"]);
-    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_ms);
+    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_times_ms);
     let run_s: f64 = run_ms.map(|ms| f64::from(*ms) / 1e3).sum();
     let load = run_s / 600.0 / 400.0;
     assert!((0.72..0.88).contains(&load), "{load}");
 }
 
 #[test]
-fn sizes_fit_workload() {
+fn sizes_and_run_times_follow_workload() {
     let plan = plan(&["--duration-s", "600"]);
     let sizes: Vec<usize> = plan
         .jobs
         .iter()
         .filter(|job| !job.single)
-        .map(|job| job.run_ms.len())
+        .map(|job| job.run_times_ms.len())
         .collect();
     let mean = sizes.iter().sum::<usize>() as f64 / sizes.len() as f64;
     assert!((15.0..19.0).contains(&mean), "{mean}");
     assert!(sizes.iter().all(|size| (1..=480).contains(size)));
-    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_ms);
+    let run_ms = plan.jobs.iter().flat_map(|job| &job.run_times_ms);
     assert!(run_ms.clone().all(|ms| (50..=5_000).contains(ms)));
     let long = run_ms.clone().filter(|ms| **ms > 1_000).count();
     let share = long as f64 / run_ms.count() as f64;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn burst_offers_more() {
+fn burst_raises_arrival_rate() {
     let burst = ["--burst-factor", "3", "--burst-from-s", "100"];
     let plan = plan(&[&burst[..], &["--burst-for-s", "100", "--duration-s", "300"]].concat());
     let before = tasks_between(&plan, 0, 100);
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn requests_are_bounded() {
+fn request_count_is_bounded() {
     assert_eq!(plan(&["--max-requests", "25"]).jobs.len(), 25);
 }
 
 #[test]
-fn bad_options_named() {
+fn out_of_range_options_are_named() {
     let cases = [
         ("--load", "0", "load"),
         ("--duration-s", "0", "duration-s"),
@@ -94,22 +94,23 @@
 }
 
 #[test]
-fn ideal_is_bound() {
+fn ideal_response_time_is_lower_bound() {
     let job = |run_ms: &[u32]| PlannedJob {
         at: Duration::ZERO,
         single: false,
-        run_ms: run_ms.to_vec(),
+        run_times_ms: run_ms.to_vec(),
         cancelled: false,
     };
     let trips = Duration::from_millis(1);
-    let ideal_ms = |run_ms: &[u32], slots| job(run_ms).ideal(slots, trips).as_millis();
+    let ideal_ms =
+        |run_ms: &[u32], slots| job(run_ms).ideal_response_time(slots, trips).as_millis();
     assert_eq!(ideal_ms(&[100, 300, 50], 400), 301);
     assert_eq!(ideal_ms(&[100; 480], 400), 121);
     assert_eq!(ideal_ms(&[100; 480], 480), 101);
 }
 
 #[test]
-fn messages_are_summed() {
+fn messages_are_summed_over_entries() {
     let mut before = MessageTotals::default();
     before.add_scrape("almondhead_messages_total{kind=\"attempt\"} 5\n");
     let mut after = MessageTotals::default();
@@ -125,5 +126,5 @@
     let since = after.since(&before);
     assert_eq!(since.by_kind["attempt"], 15);
     assert_eq!(since.by_kind["retry"], 4);
-    assert_eq!(since.all(), 15 + 18);
+    assert_eq!(since.total(), 15 + 18);
 }
