--- a/entry/src/run_api.rs
+++ b/entry/src/run_api.rs
@@ -8,8 +8,8 @@
 use almondhead_lib::runs::run_answer::RunAnswer;
 use almondhead_platform::READY_PATH;
 use almondhead_platform::caller_reply;
+use almondhead_platform::caller_timeout;
 use almondhead_platform::decode_job;
-use almondhead_platform::waiting_time;
 use futures_lite::future::or;
 use smol::Timer;
 use trillium::Conn;
@@ -76,7 +76,7 @@
         return Refusal::Busy.reply(conn);
     }
     let headers = conn.request_headers();
-    let wait = waiting_time(|name| headers.get_str(name));
+    let wait = caller_timeout(|name| headers.get_str(name));
     let host = headers.get_str("host").unwrap_or_default().to_owned();
     let path = conn.path().to_owned();
     let mut open = context.handle.request(|request| RunEvent::Requested {
--- a/entry/src/run_driver.rs
+++ b/entry/src/run_driver.rs
@@ -206,7 +206,7 @@
         let metrics = self.effects.metrics.clone();
         executor::spawn(async move {
             let given_at = std::time::Instant::now();
-            let answer = orders.give(&order_to).await;
+            let answer = orders.send(&order_to).await;
             metrics.count_order(&order_to.order, &answer, given_at.elapsed());
             handle.send(RunEvent::OrderAnswered { order, answer });
         });
--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -17,7 +17,7 @@
 use almondhead_platform::RosterSession;
 use almondhead_platform::StoreClient;
 use almondhead_platform::StoreContact;
-use almondhead_platform::StoredIntended;
+use almondhead_platform::StoredIntendedDecoder;
 use almondhead_platform::peer_key;
 use almondhead_platform::watch_intended;
 use almondhead_platform::watch_upstreams;
@@ -120,7 +120,7 @@
             register_again,
         };
         let run_settings = run_settings(&settings, &leased, &identity);
-        let dispatcher = RunDispatcher::new(run_settings, Box::new(StoredIntended));
+        let dispatcher = RunDispatcher::new(run_settings, Box::new(StoredIntendedDecoder));
         executor::spawn(RunDriver::new(dispatcher, Clock::start(), commands, effects).run());
         let key = shared_key(&store, &settings).await;
         let (transport, incoming) = NngTransport::start(PeerSettings {
@@ -265,7 +265,7 @@
 ) {
     loop {
         if registrations.try_recv().is_ok() {
-            session.beat_now();
+            session.request_heartbeat();
         }
         let is_leaving = or(
             async {
