--- a/net/src/document_store.rs
+++ b/net/src/document_store.rs
@@ -1,7 +1,8 @@
-//! The documents in the platform's table and object store.
+//! Stores documents in the platform's table and object store.
 //!
-//! Accepting a document is one compare-and-set of the head row. The text is an object of its own
-//! name, written before; a head is copied to the history before a newer one replaces it.
+//! A document is accepted by one compare-and-set of the head row. Its text is written first, as an
+//! object under a name of its own, and the current head is copied to the history before a newer one
+//! replaces it.
 
 mod error;
 mod store;
--- a/net/src/document_store/error.rs
+++ b/net/src/document_store/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the documents' store.
+//! Errors of the document store.
 
 use almondhead_macros::key;
 use derive_more::Display;
@@ -6,17 +6,17 @@
 
 use crate::platform::PlatformError;
 
-/// What was done with the documents' store.
+/// A step of a call to the document store.
 #[key]
 #[derive(Display)]
 pub enum DocumentStoreStep {
     /// Reading the head.
     #[display("read the head")]
     ReadHead,
-    /// Reading the head of an older revision.
+    /// Reading the head of an older revision from its history row.
     #[display("read the history")]
     ReadHistory,
-    /// Keeping a head in the history.
+    /// Copying a head to its history row.
     #[display("write the history")]
     WriteHistory,
     /// Fetching the text of a document.
@@ -30,53 +30,53 @@
     ReplaceHead,
 }
 
-/// A failed use of the documents' store.
+/// A failed call to the document store.
 #[derive(Debug, Display, Error)]
 pub enum DocumentStoreError {
-    /// The platform did not answer as needed; nothing was accepted.
+    /// A call to the platform failed; no document was accepted.
     #[display("{step}: {source}")]
     Platform {
-        /// What was done.
+        /// The step that failed.
         step: DocumentStoreStep,
-        /// What the platform client says, with the peer.
+        /// The error of the platform client, which names the peer.
         source: PlatformError,
     },
-    /// No answer tells whether the document was accepted.
+    /// Whether the document was accepted could not be determined.
     #[display("replace the head with token {writer_token}: may or may not be accepted: {source}")]
     Unknown {
-        /// The token by which the submission is found in the head or the history.
+        /// The token that identifies the submission in the head or the history.
         writer_token: String,
-        /// The last error of the platform client, with the peer.
+        /// The last error of the platform client, which names the peer.
         source: PlatformError,
     },
-    /// A row does not hold a head.
-    #[display("{step}: the row {key} holds no head: {source}")]
+    /// The value of a row does not decode as a head.
+    #[display("{step}: decode the row {key}: {source}")]
     BadHead {
-        /// What was done.
+        /// The step that failed.
         step: DocumentStoreStep,
         /// The key of the row.
         key: String,
-        /// Why the value is none.
+        /// The decoding error.
         source: serde_json::Error,
     },
-    /// The object of a head is not in the object store.
+    /// The object that a head names does not exist.
     #[display("load the text: there is no object {object}")]
     MissingObject {
         /// The name of the object.
         object: String,
     },
-    /// The object of a head is not UTF-8 text.
-    #[display("load the text: the object {object} is not text: {source}")]
+    /// The object that a head names is not UTF-8.
+    #[display("load the text: the object {object} is not UTF-8: {source}")]
     NotText {
         /// The name of the object.
         object: String,
-        /// Where the text breaks off.
+        /// The position of the first invalid byte.
         source: std::str::Utf8Error,
     },
 }
 
 impl DocumentStoreError {
-    /// Wraps an error of the platform client.
+    /// Returns a function that wraps an error of the platform client in `step`.
     pub(crate) fn platform(step: DocumentStoreStep) -> impl FnOnce(PlatformError) -> Self {
         move |source| Self::Platform { step, source }
     }
--- a/net/src/document_store/store.rs
+++ b/net/src/document_store/store.rs
@@ -1,4 +1,4 @@
-//! The store of documents.
+//! Reads and submits documents.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 use crate::platform::compare_and_set_resolved;
 use crate::platform::insert_resolved;
 
-/// How often the head is replaced before its fate is called unknown.
+/// Maximum number of attempts to replace the head before the outcome is reported as unknown.
 const REPLACE_ATTEMPTS: u32 = 5;
 
-/// The wait between two attempts to replace the head, in milliseconds.
+/// The delay between two attempts to replace the head, in milliseconds.
 const REPLACE_RETRY_MS: u64 = 300;
 
-/// The accepted documents in the platform's table and object store.
+/// The document store in the platform's table and object store.
 #[derive(Clone)]
 pub struct DocumentStore {
     platform: Arc<dyn Platform>,
@@ -41,18 +41,18 @@
 }
 
 impl DocumentStore {
-    /// The documents' store of a platform.
+    /// Creates a store on a platform.
     pub fn new(platform: Arc<dyn Platform>) -> Self {
         DocumentStore { platform }
     }
 
-    /// The head; none before the first document.
+    /// Reads the head; `None` before the first document.
     pub async fn head(&self) -> Result<Option<Head>, DocumentStoreError> {
         let stored = self.stored_head().await?;
         Ok(stored.map(|stored| stored.head))
     }
 
-    /// The text of the document that a head names.
+    /// Loads the text of the document that a head names.
     pub async fn load(&self, head: &Head) -> Result<String, DocumentStoreError> {
         let fetched = self.platform.get_object(&head.object).await;
         let body = fetched.map_err(DocumentStoreError::platform(DocumentStoreStep::LoadText))?;
@@ -66,17 +66,17 @@
         }
     }
 
-    /// The head of a revision, the newest one included; none where it never was.
+    /// Reads the head of a revision, which may be the newest; `None` if there is no such revision.
     pub async fn revision(&self, revision: u64) -> Result<Option<Head>, DocumentStoreError> {
         let head = self.head().await?;
         match head {
             Some(head) if head.revision == revision => Ok(Some(head)),
-            Some(head) if head.revision > revision => self.past(revision).await,
+            Some(head) if head.revision > revision => self.history_head(revision).await,
             _ => Ok(None),
         }
     }
 
-    /// The newest heads, the newest first, no more than `limit`.
+    /// Reads up to `limit` of the newest heads, newest first.
     pub async fn history(&self, limit: usize) -> Result<Vec<Head>, DocumentStoreError> {
         let Some(head) = self.head().await? else {
             return Ok(Vec::new());
@@ -87,18 +87,18 @@
             if heads.len() >= limit {
                 break;
             }
-            heads.extend(self.past(revision).await?);
+            heads.extend(self.history_head(revision).await?);
         }
         heads.truncate(limit);
         Ok(heads)
     }
 
-    /// Submits a document: the text, then the predecessor's history row, then the head.
+    /// Submits a document: writes the text, then the predecessor's history row, then the head.
     ///
     /// # Errors
     ///
-    /// [`DocumentStoreError::Unknown`] where the head may have been replaced; every other error
-    /// means that nothing was accepted.
+    /// [`DocumentStoreError::Unknown`] if the head may have been replaced; after any other error
+    /// the document was not accepted.
     pub async fn submit(&self, submission: &Submission) -> Result<Submitted, DocumentStoreError> {
         let current = self.stored_head().await?;
         let current_revision = current.as_ref().map_or(0, |stored| stored.head.revision);
@@ -110,7 +110,7 @@
         let next = submission.head_after(current_revision);
         self.store_text(&next, &submission.text).await?;
         if let Some(current) = &current {
-            self.keep(&current.head).await?;
+            self.write_history(&current.head).await?;
         }
         let row_revision = current.map(|stored| stored.row_revision);
         self.replace_head(row_revision, next).await
@@ -123,7 +123,7 @@
         row.map(|row| stored_head(&row)).transpose()
     }
 
-    async fn past(&self, revision: u64) -> Result<Option<Head>, DocumentStoreError> {
+    async fn history_head(&self, revision: u64) -> Result<Option<Head>, DocumentStoreError> {
         let step = DocumentStoreStep::ReadHistory;
         let key = history_key(revision);
         let read = self.platform.read(DOCUMENTS_TABLE, &key).await;
@@ -131,7 +131,7 @@
         row.map(|row| parse_head(step, &key, &row)).transpose()
     }
 
-    /// Stores a text; an answer lost after the write may have taken effect is read back.
+    /// Stores a text; if the write may have taken effect without an answer, reads it back.
     async fn store_text(&self, head: &Head, text: &str) -> Result<(), DocumentStoreError> {
         let body = Bytes::copy_from_slice(text.as_bytes());
         let stored = self.platform.put_object(&head.object, body).await;
@@ -139,32 +139,32 @@
             Ok(()) => return Ok(()),
             Err(source) => source,
         };
-        if source.may_have_applied() && self.load(head).await.is_ok_and(|kept| kept == text) {
+        if source.may_have_applied() && self.load(head).await.is_ok_and(|stored| stored == text) {
             return Ok(());
         }
         let step = DocumentStoreStep::StoreText;
         Err(DocumentStoreError::Platform { step, source })
     }
 
-    /// Keeps a head in the history; it may be there already.
-    async fn keep(&self, head: &Head) -> Result<(), DocumentStoreError> {
+    /// Copies a head to its history row, which may exist already.
+    async fn write_history(&self, head: &Head) -> Result<(), DocumentStoreError> {
         let row = NewRow {
             key: history_key(head.revision),
             value: to_bytes(head),
         };
         let step = DocumentStoreStep::WriteHistory;
-        let kept = insert_resolved(self.platform.as_ref(), DOCUMENTS_TABLE, vec![row]);
-        kept.await.map_err(DocumentStoreError::platform(step))?;
+        let inserted = insert_resolved(self.platform.as_ref(), DOCUMENTS_TABLE, vec![row]);
+        inserted.await.map_err(DocumentStoreError::platform(step))?;
         Ok(())
     }
 
-    /// Replaces the head; safe to repeat, as every attempt expects the same row revision.
+    /// Replaces the head. Retries are safe because every attempt expects the same row revision.
     async fn replace_head(
         &self,
         row_revision: Option<u64>,
         next: Head,
     ) -> Result<Submitted, DocumentStoreError> {
-        let mut doubt = None;
+        let mut unknown_outcome = None;
         for attempt in 0..REPLACE_ATTEMPTS {
             if attempt > 0 {
                 Timer::after(Duration::from_millis(REPLACE_RETRY_MS)).await;
@@ -172,15 +172,16 @@
             match self.try_replace(row_revision, &next).await {
                 Ok(CasResult::Written { .. }) => return Ok(Submitted::Accepted { head: next }),
                 Ok(CasResult::Conflict(row)) => return self.resolve_conflict(row, next).await,
-                Err(source) if source.may_have_applied() => doubt = Some(source),
-                Err(source) if doubt.is_none() => {
+                Err(source) if source.may_have_applied() => unknown_outcome = Some(source),
+                Err(source) if unknown_outcome.is_none() => {
                     let step = DocumentStoreStep::ReplaceHead;
                     return Err(DocumentStoreError::Platform { step, source });
                 }
                 Err(_) => {}
             }
         }
-        let source = doubt.expect("the loop ends only after an attempt in doubt");
+        let source =
+            unknown_outcome.expect("the loop ends only after an attempt of unknown outcome");
         let writer_token = next.writer_token;
         Err(DocumentStoreError::Unknown {
             writer_token,
@@ -198,7 +199,8 @@
         compare_and_set_resolved(platform, DOCUMENTS_TABLE, HEAD_KEY, row_revision, value).await
     }
 
-    /// Tells an own earlier attempt, even one already replaced, from another's submission.
+    /// Determines whether an earlier attempt of this submission was accepted, also if its head has
+    /// been replaced since, or another submission won.
     async fn resolve_conflict(
         &self,
         row: Option<Row>,
@@ -209,7 +211,7 @@
             return Ok(Submitted::Raced { winner: None });
         };
         let accepted = if winner.revision > next.revision {
-            self.accepted_before(&next).await?
+            self.accepted_head(&next).await?
         } else {
             Some(winner.clone())
         };
@@ -220,10 +222,10 @@
         Ok(Submitted::Raced { winner })
     }
 
-    /// The head that was accepted under the revision of an own attempt.
-    async fn accepted_before(&self, next: &Head) -> Result<Option<Head>, DocumentStoreError> {
-        let past = self.past(next.revision).await;
-        past.map_err(|error| match error {
+    /// Reads the history row of the revision that this submission tried to write.
+    async fn accepted_head(&self, next: &Head) -> Result<Option<Head>, DocumentStoreError> {
+        let accepted = self.history_head(next.revision).await;
+        accepted.map_err(|error| match error {
             DocumentStoreError::Platform { source, .. } => DocumentStoreError::Unknown {
                 writer_token: next.writer_token.clone(),
                 source,
--- a/net/src/document_store/submission.rs
+++ b/net/src/document_store/submission.rs
@@ -1,43 +1,43 @@
-//! A submission of a document and its result.
+//! A document submission and its outcome.
 
 use almondhead_lib::revision::Head;
 use almondhead_lib::revision::object_name;
 use almondhead_macros::value;
 
-/// A document to be accepted, already checked.
+/// A validated document to submit.
 #[value]
 pub struct Submission {
     /// The text of the document.
     pub text: String,
-    /// The revision that it was made from: 0 for none, absent for whichever is the head.
+    /// The revision that the document is based on: 0 for none, `None` for whichever is current.
     pub expected_revision: Option<u64>,
-    /// A token that no other submission ever carries.
+    /// A token unique to this submission.
     pub writer_token: String,
-    /// Who submits it.
+    /// The name of the submitter.
     pub author: String,
-    /// When it is submitted, in milliseconds since the Unix epoch.
+    /// The time of the submission in milliseconds since the Unix epoch.
     pub submitted_at_unix_ms: u64,
-    /// What the submitter writes about it.
+    /// The submitter's note about the change.
     pub note: String,
 }
 
-/// What became of a submission.
+/// The outcome of a submission.
 #[value]
 pub enum Submitted {
-    /// It was accepted.
+    /// The document was accepted.
     Accepted {
-        /// The head that it made.
+        /// The head that the submission wrote.
         head: Head,
     },
-    /// Another submission was accepted before; this one changed nothing.
+    /// Another submission was accepted first; this one changed nothing.
     Raced {
-        /// The head of now; absent where a revision was expected and there is none.
+        /// The current head; `None` if a revision was expected but there is no head.
         winner: Option<Head>,
     },
 }
 
 impl Submission {
-    /// The head that this submission makes after a revision.
+    /// Returns the head that this submission writes on top of `revision`.
     pub(crate) fn head_after(&self, revision: u64) -> Head {
         let revision = revision + 1;
         Head {
--- a/net/src/http.rs
+++ b/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP exchanges over kept connections, each error telling whether the request may have arrived.
+//! HTTP exchanges over pooled connections. Each error tells whether the request may have arrived.
 
 mod client;
 mod counted_stream;
--- a/net/src/http/client.rs
+++ b/net/src/http/client.rs
@@ -21,15 +21,15 @@
 
 /// An HTTP client that keeps a bounded number of connections to each address.
 ///
-/// It never asks the peer with `Expect: 100-continue` first, and repeats no request of which a
-/// byte was sent. Dropping the future of [`HttpClient::send`] abandons the exchange.
+/// It never sends `Expect: 100-continue`, and never retries a request of which a byte was sent.
+/// Dropping the future of [`HttpClient::send`] abandons the exchange.
 pub struct HttpClient {
     settings: HttpSettings,
     pools: Mutex<IndexMap<SocketAddr, Arc<Pool>>>,
 }
 
 impl HttpClient {
-    /// Returns a client without connections.
+    /// Creates a client without connections.
     pub fn new(settings: HttpSettings) -> Self {
         Self {
             settings,
@@ -39,7 +39,7 @@
 
     /// Sends a request and returns its whole response.
     ///
-    /// `timeout` bounds everything: the wait for a connection, the connect and the exchange.
+    /// `timeout` covers the wait for a connection, the connect and the exchange.
     pub async fn send(
         &self,
         request: HttpRequest,
@@ -48,10 +48,10 @@
         self.send_before(request, Instant::now() + timeout).await
     }
 
-    /// Sends a request and returns its whole response, all of it before `deadline`.
+    /// Sends a request and returns its whole response if it arrives before `deadline`.
     ///
-    /// The clock is read again whenever the exchange goes on, so that a process that was frozen
-    /// meanwhile hands over nothing past the deadline.
+    /// The clock is read on every poll of the exchange, so a process that was suspended sends
+    /// nothing after the deadline.
     pub async fn send_before(
         &self,
         request: HttpRequest,
@@ -67,8 +67,8 @@
         };
         let result = or(timed_out, pool.send(&request, &progress)).await;
         if let Err(Failure::Timeout { .. }) = &result {
-            // What goes silent without a reset may be all connections to the peer.
-            pool.drop_idle();
+            // All connections to the peer may have stopped delivering without a reset.
+            pool.close_idle();
         }
         result.map_err(|failure| ExchangeError {
             step: progress.step(),
--- a/net/src/http/counted_stream.rs
+++ b/net/src/http/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts the bytes handed to its socket.
+//! A TCP stream that counts the bytes written to its socket.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use smol::io::AsyncWrite;
 use smol::net::TcpStream;
 
-/// A TCP stream whose count of written bytes others can read.
+/// A TCP stream with a shared counter of written bytes.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     written_bytes: Arc<AtomicU64>,
 }
 
 impl CountedStream {
-    /// Connects without delay of small writes.
+    /// Connects with `TCP_NODELAY` set.
     pub(crate) async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -31,6 +31,7 @@
         })
     }
 
+    /// Returns the shared counter of bytes written to the socket.
     pub(crate) fn written_bytes(&self) -> Arc<AtomicU64> {
         Arc::clone(&self.written_bytes)
     }
--- a/net/src/http/error.rs
+++ b/net/src/http/error.rs
@@ -1,4 +1,4 @@
-//! Errors of an exchange, which say at which step it broke and what had been sent by then.
+//! Errors of an exchange: the step that failed, and whether the request may have arrived.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 use derive_more::Error;
 use derive_more::From;
 
-/// What the peer can have seen of a request.
+/// Whether the peer may have received a request.
 #[key]
 #[derive(Display)]
 pub enum Sent {
-    /// Certainly no byte of the request was handed to the socket.
+    /// No byte of the request was written to the socket.
     #[display("nothing was sent")]
     Nothing,
-    /// Some part of the request was handed to the socket, or it can't be ruled out.
+    /// Some of the request was written to the socket, or this cannot be ruled out.
     #[display("the request may have arrived")]
     MayHaveArrived,
 }
 
-/// The step of an exchange.
+/// A step of an exchange.
 #[key]
 #[derive(Display)]
 pub enum Step {
     /// Building the request from its parts.
     #[display("build the request")]
     Build,
-    /// Waiting until fewer connections than the limit are in use.
+    /// Waiting until fewer connections, or HTTP/2 streams, than the limit are in use.
     #[display("wait for a free connection")]
     AwaitConnection,
     /// Opening a connection.
@@ -44,7 +44,7 @@
 /// Why a step failed.
 #[derive(Debug, Display, Error, From)]
 pub enum Failure {
-    /// The request's parts don't form a request.
+    /// The method, path or headers do not form a valid request.
     #[display("invalid request: {_0}")]
     InvalidRequest(hyper::http::Error),
     /// The socket failed.
@@ -53,11 +53,11 @@
     /// The connection failed or the peer broke the protocol.
     #[display("{_0}")]
     Connection(hyper::Error),
-    /// The time limit ran out.
-    #[display("no end within {timeout_ms} ms")]
+    /// The exchange timed out.
+    #[display("timed out after {timeout_ms} ms")]
     #[from(skip)]
     Timeout {
-        /// The time limit of the whole exchange in milliseconds.
+        /// The timeout of the whole exchange in milliseconds.
         timeout_ms: u128,
     },
     /// The response body is longer than the client's limit.
@@ -67,13 +67,14 @@
         /// The limit in bytes.
         limit_bytes: usize,
     },
-    /// The response body has no stated end, so that a cut one could not be told from a whole one.
+    /// The response has neither a length nor chunked encoding, so a truncated body would look
+    /// complete.
     #[display("response body of no stated length")]
     #[from(skip)]
     BodyWithoutEnd,
 }
 
-/// An exchange that brought no whole response.
+/// An exchange without a complete response.
 #[derive(Debug, Display, Error)]
 #[display("{step} with {peer}: {failure}; {sent}")]
 pub struct ExchangeError {
@@ -81,7 +82,7 @@
     pub step: Step,
     /// The peer that the request was for.
     pub peer: SocketAddr,
-    /// What the peer can have seen of the request.
+    /// Whether the peer may have received the request.
     pub sent: Sent,
     /// Why the step failed.
     #[error(source)]
--- a/net/src/http/http1_connection.rs
+++ b/net/src/http/http1_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection, driven by the exchange that uses it.
+//! One HTTP/1.1 connection, polled by the exchange that uses it.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -27,12 +27,12 @@
 use super::read_body::read_body;
 use super::response::HttpResponse;
 
-/// An open connection. No task stands behind it: dropping it closes the socket at once.
+/// An open connection. No background task polls it, so dropping it closes the socket at once.
 pub(crate) struct Http1Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: Connection<FuturesIo<CountedStream>, Full<Bytes>>,
     written_bytes: Arc<AtomicU64>,
-    used_at: Instant,
+    last_used_at: Instant,
 }
 
 impl Http1Connection {
@@ -44,21 +44,21 @@
             sender,
             driver,
             written_bytes,
-            used_at: Instant::now(),
+            last_used_at: Instant::now(),
         })
     }
 
     pub(crate) fn is_unused_for(&self, limit: Duration) -> bool {
-        self.used_at.elapsed() >= limit
+        self.last_used_at.elapsed() >= limit
     }
 
-    /// Looks whether the connection can take a request, reading what the peer sent meanwhile.
+    /// Checks whether the connection can send a request, after reading what the peer has sent.
     pub(crate) async fn is_usable(&mut self) -> bool {
         let closed = poll_once(&mut self.driver).await.is_some();
         !closed && self.sender.is_ready()
     }
 
-    /// Sends one request and reads its whole response, of a body of at most `limit_bytes`.
+    /// Sends one request and reads its whole response, whose body may have up to `limit_bytes`.
     pub(crate) async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -74,12 +74,12 @@
             read_body(response, limit_bytes).await
         };
         let result = drive(exchange, &mut self.driver).await;
-        self.used_at = Instant::now();
+        self.last_used_at = Instant::now();
         result
     }
 }
 
-/// Polls `exchange` to its end, and `driver` beside it until either ends.
+/// Polls `exchange` to completion, and `driver` alongside it until either completes.
 async fn drive<T, D>(exchange: impl Future<Output = T>, driver: &mut D) -> T
 where
     D: Future + Unpin,
--- a/net/src/http/http1_pool.rs
+++ b/net/src/http/http1_pool.rs
@@ -17,15 +17,15 @@
 use super::settings::HttpSettings;
 use super::settings::Protocol;
 
-/// The connections to one address, idle and in use together never more than the limit.
+/// The connections to one address; the limit covers idle ones and those in use together.
 ///
-/// A connection is opened only by the holder of a permit that found none idle, and goes back to
-/// the idle ones before its permit does.
+/// A connection is opened only by a permit's holder that found none idle, and returns to the idle
+/// ones before its permit is released.
 pub(crate) struct Http1Pool {
     address: SocketAddr,
     permits: Semaphore,
     idle: Mutex<Vec<Http1Connection>>,
-    idle_limit: Duration,
+    idle_timeout: Duration,
     response_body_bytes: usize,
 }
 
@@ -35,14 +35,14 @@
             address,
             permits: Semaphore::new(settings.connections),
             idle: Mutex::default(),
-            idle_limit: Duration::from_millis(settings.idle_ms),
+            idle_timeout: Duration::from_millis(settings.idle_ms),
             response_body_bytes: settings.response_body_bytes,
         }
     }
 
-    /// Sends a request on a kept connection or a new one.
+    /// Sends a request on an idle connection or a new one.
     ///
-    /// A kept connection that breaks before it took a byte of the request is replaced.
+    /// If an idle connection fails before a byte of the request is written, the next one is tried.
     pub(crate) async fn send(
         &self,
         request: &HttpRequest,
@@ -61,34 +61,36 @@
             if result.is_err() && progress.sent() == Sent::Nothing {
                 continue;
             }
-            return self.finish(connection, result).await;
+            return self.release(connection, result).await;
         }
         progress.enter(Step::Connect);
         let mut connection = Http1Connection::connect(self.address).await?;
         let result = connection
             .exchange(message, self.response_body_bytes, progress)
             .await;
-        self.finish(connection, result).await
+        self.release(connection, result).await
     }
 
-    /// Closes the connections that nobody uses: the path to the address may have gone silent.
-    pub(crate) fn drop_idle(&self) {
+    /// Closes the idle connections: the network path may drop packets without a reset.
+    pub(crate) fn close_idle(&self) {
         self.idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clear();
     }
 
-    /// Says whether no connection is worth keeping the pool for.
+    /// Returns whether every idle connection has exceeded the idle timeout, so that the pool can be
+    /// dropped.
     pub(crate) fn is_idle(&self) -> bool {
         self.idle
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .iter()
-            .all(|connection| connection.is_unused_for(self.idle_limit))
+            .all(|connection| connection.is_unused_for(self.idle_timeout))
     }
 
-    async fn finish(
+    /// Returns the connection to the idle ones if it can be reused.
+    async fn release(
         &self,
         mut connection: Http1Connection,
         result: Result<HttpResponse, Failure>,
@@ -105,7 +107,7 @@
 
     fn take_idle(&self) -> Option<Http1Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.retain(|connection| !connection.is_unused_for(self.idle_limit));
+        idle.retain(|connection| !connection.is_unused_for(self.idle_timeout));
         idle.pop()
     }
 }
--- a/net/src/http/http2_connection.rs
+++ b/net/src/http/http2_connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection, shared by many exchanges and driven by a task of its own.
+//! One HTTP/2 connection, shared by many exchanges and polled by its own background task.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,12 +20,12 @@
 use super::counted_stream::CountedStream;
 use super::error::Failure;
 
-/// How often a connection with exchanges in progress is probed.
-const PROBE_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a probe may stay unanswered before the connection counts as broken.
-const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The interval of keep-alive pings while exchanges are in progress.
+const PING_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a ping may stay unanswered before the connection is closed.
+const PING_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A handle to an open connection, and a count of the handles.
+/// A handle to an open connection that counts its clones.
 #[derive(Clone)]
 pub(crate) struct Http2Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -37,8 +37,8 @@
         let stream = CountedStream::connect(address).await?;
         let (sender, driver) = Builder::new(SmolSpawn)
             .timer(SmolTimer::new())
-            .keep_alive_interval(PROBE_INTERVAL)
-            .keep_alive_timeout(PROBE_TIMEOUT)
+            .keep_alive_interval(PING_INTERVAL)
+            .keep_alive_timeout(PING_TIMEOUT)
             .handshake(FuturesIo::new(stream))
             .await?;
         smol::spawn(driver).detach();
@@ -52,12 +52,14 @@
         self.sender.is_closed()
     }
 
-    /// Returns the number of handles besides the pool's own, which is that of the exchanges.
-    pub(crate) fn exchanges(&self) -> usize {
+    /// Returns the number of exchanges, each of which holds a handle besides the pool's own.
+    pub(crate) fn exchange_count(&self) -> usize {
         Arc::strong_count(&self.handles) - 1
     }
 
-    /// Sends a request and returns the head of its response, or gives the request back untouched.
+    /// Sends a request and returns the head of its response.
+    ///
+    /// The error contains the request if none of it was sent.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
--- a/net/src/http/http2_pool.rs
+++ b/net/src/http/http2_pool.rs
@@ -15,12 +15,12 @@
 use super::settings::HttpSettings;
 use super::settings::Protocol;
 
-/// The connections to one address. Another is opened only when all carry the most streams allowed.
+/// The connections to one address. Another is opened only when all have reached the stream limit.
 pub(crate) struct Http2Pool {
     address: SocketAddr,
     permits: Semaphore,
     connections: Mutex<Vec<Http2Connection>>,
-    streams: usize,
+    streams_per_connection: usize,
     response_body_bytes: usize,
 }
 
@@ -30,12 +30,13 @@
             address,
             permits: Semaphore::new(settings.connections * settings.streams),
             connections: Mutex::default(),
-            streams: settings.streams,
+            streams_per_connection: settings.streams,
             response_body_bytes: settings.response_body_bytes,
         }
     }
 
-    /// Sends a request on the least used connection, on another if it is given back untouched.
+    /// Sends a request on the least used connection, or on another one if that connection closes
+    /// before the request is sent.
     pub(crate) async fn send(
         &self,
         request: &HttpRequest,
@@ -47,7 +48,7 @@
         loop {
             let mut connection = self.connection(progress).await?;
             progress.enter(Step::Exchange);
-            progress.hand_over();
+            progress.mark_handed_over();
             let mut error = match connection.send(message).await {
                 Ok(response) => {
                     progress.enter(Step::ReadBody);
@@ -55,18 +56,18 @@
                 }
                 Err(error) => error,
             };
-            let Some(untouched) = error.take_message() else {
+            let Some(unsent) = error.take_message() else {
                 return Err(error.into_error().into());
             };
-            progress.take_back();
+            progress.mark_returned();
             if !connection.is_closed() {
                 return Err(error.into_error().into());
             }
-            message = untouched;
+            message = unsent;
         }
     }
 
-    /// Says whether no connection is worth keeping the pool for.
+    /// Returns whether every connection is closed, so that the pool can be dropped.
     pub(crate) fn is_idle(&self) -> bool {
         let Some(connections) = self.connections.try_lock() else {
             return false;
@@ -79,8 +80,8 @@
         connections.retain(|connection| !connection.is_closed());
         let least_used = connections
             .iter()
-            .filter(|connection| connection.exchanges() < self.streams)
-            .min_by_key(|connection| connection.exchanges());
+            .filter(|connection| connection.exchange_count() < self.streams_per_connection)
+            .min_by_key(|connection| connection.exchange_count());
         if let Some(connection) = least_used {
             return Ok(connection.clone());
         }
--- a/net/src/http/pool.rs
+++ b/net/src/http/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to one address, whatever the protocol.
+//! The connections to one address, for either protocol.
 
 use std::net::SocketAddr;
 
@@ -36,16 +36,16 @@
         }
     }
 
-    /// Closes the connections that nobody uses, where they are kept one by one.
-    pub(crate) fn drop_idle(&self) {
+    /// Closes idle HTTP/1.1 connections.
+    pub(crate) fn close_idle(&self) {
         match self {
-            Self::Http1(pool) => pool.drop_idle(),
-            // The one connection is shared, and its own requests show whether it lives.
+            Self::Http1(pool) => pool.close_idle(),
+            // The connection is shared, and its pings detect whether the peer still answers.
             Self::Http2(_) => {}
         }
     }
 
-    /// Says whether no connection is worth keeping the pool for.
+    /// Returns whether the pool has no connection worth keeping.
     pub(crate) fn is_idle(&self) -> bool {
         match self {
             Self::Http1(pool) => pool.is_idle(),
--- a/net/src/http/progress.rs
+++ b/net/src/http/progress.rs
@@ -1,4 +1,4 @@
-//! How far one exchange has come, readable after its future was dropped.
+//! The progress of one exchange, readable after its future was dropped.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -9,7 +9,7 @@
 use super::error::Sent;
 use super::error::Step;
 
-/// The step that an exchange is at, and the evidence of what it has sent.
+/// The current step of an exchange, and the evidence of whether its request was sent.
 pub(crate) struct Progress(Mutex<State>);
 
 struct State {
@@ -18,11 +18,15 @@
 }
 
 enum Evidence {
+    /// No connection has the request.
     NotHandedOver,
+    /// The connection carries only this request: it was sent if `written_bytes` exceeds
+    /// `start_bytes`.
     Counted {
         written_bytes: Arc<AtomicU64>,
         start_bytes: u64,
     },
+    /// A shared connection has the request, and its written bytes cannot be attributed.
     HandedOver,
 }
 
@@ -42,7 +46,7 @@
         self.with(|state| state.step = step);
     }
 
-    /// Starts counting on a connection whose every further written byte is this request's.
+    /// Starts counting on a connection on which every further byte written belongs to this request.
     pub(crate) fn count_from(&self, written_bytes: Arc<AtomicU64>) {
         let start_bytes = written_bytes.load(Ordering::Acquire);
         let evidence = Evidence::Counted {
@@ -52,19 +56,19 @@
         self.with(|state| state.evidence = evidence);
     }
 
-    /// Notes that the request was handed to a connection that other requests share.
-    pub(crate) fn hand_over(&self) {
+    /// Records that the request was handed to a connection shared with other requests.
+    pub(crate) fn mark_handed_over(&self) {
         self.with(|state| state.evidence = Evidence::HandedOver);
     }
 
-    /// Notes that the connection gave the request back untouched.
-    pub(crate) fn take_back(&self) {
+    /// Records that the connection returned the request without sending any of it.
+    pub(crate) fn mark_returned(&self) {
         self.with(|state| state.evidence = Evidence::NotHandedOver);
     }
 
-    /// Says what can have been sent. Final once the exchange's future is dropped.
+    /// Returns whether the request may have been sent; final once the exchange's future is dropped.
     pub(crate) fn sent(&self) -> Sent {
-        let untouched = self.with(|state| match &state.evidence {
+        let is_unsent = self.with(|state| match &state.evidence {
             Evidence::NotHandedOver => true,
             Evidence::HandedOver => false,
             Evidence::Counted {
@@ -72,7 +76,7 @@
                 start_bytes,
             } => written_bytes.load(Ordering::Acquire) == *start_bytes,
         });
-        if untouched {
+        if is_unsent {
             Sent::Nothing
         } else {
             Sent::MayHaveArrived
--- a/net/src/http/read_body.rs
+++ b/net/src/http/read_body.rs
@@ -1,4 +1,4 @@
-//! Reads a response body to its stated end, or fails.
+//! Reads a response body whole, or fails if its end cannot be recognized.
 
 use bytes::Bytes;
 use bytes::BytesMut;
@@ -12,7 +12,7 @@
 use super::error::Failure;
 use super::response::HttpResponse;
 
-/// Reads the whole body of `response`, at most `limit_bytes` of it.
+/// Reads the whole body of `response`; fails if it is longer than `limit_bytes`.
 pub(crate) async fn read_body(
     response: Response<Incoming>,
     limit_bytes: usize,
--- a/net/src/http/request.rs
+++ b/net/src/http/request.rs
@@ -19,7 +19,7 @@
 pub struct HttpRequest {
     /// The method.
     pub method: Method,
-    /// The peer that the request is sent to.
+    /// The address of the peer.
     pub address: SocketAddr,
     /// The path with its query, starting with a slash.
     pub path: String,
@@ -30,7 +30,7 @@
 }
 
 impl HttpRequest {
-    /// Returns a request without headers and body.
+    /// Creates a request without headers and body.
     pub fn new(method: Method, address: SocketAddr, path: impl Into<String>) -> Self {
         Self {
             method,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns the request with this body.
+    /// Sets the body.
     #[must_use]
     pub fn with_body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
--- a/net/src/http/response.rs
+++ b/net/src/http/response.rs
@@ -5,10 +5,10 @@
 use hyper::HeaderMap;
 use hyper::StatusCode;
 
-/// A response whose body arrived to its end.
+/// A response whose body has arrived completely.
 #[value]
 pub struct HttpResponse {
-    /// The status.
+    /// The HTTP status.
     pub status: StatusCode,
     /// The headers.
     pub headers: HeaderMap,
@@ -17,7 +17,7 @@
 }
 
 impl HttpResponse {
-    /// Returns the value of a header, if it is there and is text.
+    /// Returns the value of a header if it is present and visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
--- a/net/src/http/settings.rs
+++ b/net/src/http/settings.rs
@@ -8,29 +8,29 @@
 const DEFAULT_IDLE_MS: u64 = 30_000;
 const DEFAULT_RESPONSE_BODY_BYTES: usize = 16 * 1024 * 1024;
 
-/// The version of HTTP spoken to a peer.
+/// The HTTP version used with a peer.
 #[key]
 #[derive(Default)]
 pub enum Protocol {
-    /// HTTP/1.1, one request at a time on a connection.
+    /// HTTP/1.1, one request at a time per connection.
     #[default]
     Http1,
-    /// HTTP/2 by prior knowledge, many requests at a time on a connection.
+    /// HTTP/2 with prior knowledge, many concurrent requests per connection.
     Http2,
 }
 
 /// Limits of an HTTP client, each per peer address.
 #[value]
 pub struct HttpSettings {
-    /// The version spoken.
+    /// The HTTP version.
     pub protocol: Protocol,
-    /// Most connections open at a time, idle ones included.
+    /// Maximum number of open connections, idle ones included.
     pub connections: usize,
-    /// Most requests at a time on an HTTP/2 connection.
+    /// Maximum number of concurrent requests on an HTTP/2 connection.
     pub streams: usize,
-    /// How long an unused connection is kept, in milliseconds.
+    /// How long an idle connection is kept open, in milliseconds.
     pub idle_ms: u64,
-    /// Longest response body taken, in bytes.
+    /// Maximum length of a response body in bytes.
     pub response_body_bytes: usize,
 }
 
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -1,5 +1,5 @@
-//! Network clients of the almondhead processes: HTTP exchanges that say what was really sent, and
-//! the platform's table, objects and instance list behind a trait.
+//! Network clients of the almondhead processes: an HTTP client whose errors tell whether the
+//! request may have arrived, and the platform's table, objects and instance list behind a trait.
 
 mod document_store;
 mod http;
--- a/net/src/path_segment.rs
+++ b/net/src/path_segment.rs
@@ -1,6 +1,6 @@
-//! Percent-encoding of one segment of a path.
+//! Percent-encoding of one path segment.
 
-/// Encodes any text as one path segment: all but letters, digits and `-_~` as `%XX`.
+/// Encodes any text as one path segment: all bytes but ASCII letters, digits and `-_~` as `%XX`.
 pub fn encode_segment(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -13,7 +13,7 @@
     encoded
 }
 
-/// Decodes a path segment, or returns nothing where it isn't well formed.
+/// Decodes a path segment; `None` if an escape is malformed or the result is not UTF-8.
 pub fn decode_segment(segment: &str) -> Option<String> {
     let mut decoded = Vec::with_capacity(segment.len());
     let mut bytes = segment.bytes();
--- a/net/src/platform/base64_bytes.rs
+++ b/net/src/platform/base64_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes as base64 text in JSON.
+//! Serde functions for bytes as base64 text in JSON.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
--- a/net/src/platform/client.rs
+++ b/net/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! What the processes ask of the platform.
+//! The operations of the platform that the processes use.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -19,19 +19,19 @@
 
 /// A client of the platform: its table, object store and instance list.
 pub trait Platform: Send + Sync {
-    /// Reads a row; none where the key is absent.
+    /// Reads a row; `None` if the key is absent.
     fn read<'a>(&'a self, table: &'a str, key: &'a str) -> PlatformFuture<'a, Option<Row>>;
 
     /// Inserts each row whose key is absent, all in one write of the table.
     ///
-    /// Returns one result for each row, in the same order.
+    /// Returns one result per row, in the same order.
     fn insert_if_absent<'a>(
         &'a self,
         table: &'a str,
         rows: Vec<NewRow>,
     ) -> PlatformFuture<'a, Vec<InsertResult>>;
 
-    /// Writes a row if its revision is `expected`, where none means that it must be absent.
+    /// Writes a row if its revision is `expected`; `None` means that the row must be absent.
     fn compare_and_set<'a>(
         &'a self,
         table: &'a str,
@@ -40,17 +40,17 @@
         value: Bytes,
     ) -> PlatformFuture<'a, CasResult>;
 
-    /// Stores an object under a name, in place of any older one.
+    /// Stores an object under a name, replacing an older one.
     fn put_object<'a>(&'a self, name: &'a str, body: Bytes) -> PlatformFuture<'a, ()>;
 
-    /// Fetches an object; none where the name is unknown.
+    /// Fetches an object; `None` if the name is unknown.
     fn get_object<'a>(&'a self, name: &'a str) -> PlatformFuture<'a, Option<Bytes>>;
 
-    /// Fetches the list of instances, which may lag.
+    /// Fetches the list of instances, which may be out of date.
     fn list_instances(&self) -> PlatformFuture<'_, InstanceList>;
 
-    /// Puts an instance on the list, in place of the one of the same name.
+    /// Adds an instance to the list, replacing one of the same name.
     ///
-    /// The platform itself takes off the list those that it has seen end.
+    /// The platform itself removes instances that it has seen end.
     fn announce(&self, instance: ListedInstance) -> PlatformFuture<'_, ()>;
 }
--- a/net/src/platform/error.rs
+++ b/net/src/platform/error.rs
@@ -9,7 +9,7 @@
 use crate::http::ExchangeError;
 use crate::http::Sent;
 
-/// What was asked of the platform.
+/// An operation of the platform.
 #[key]
 #[derive(Display)]
 pub enum PlatformOperation {
@@ -37,60 +37,60 @@
 }
 
 impl PlatformOperation {
-    fn writes(self) -> bool {
+    fn is_write(self) -> bool {
         !matches!(self, Self::Read | Self::GetObject | Self::ListInstances)
     }
 }
 
-/// A platform operation without a usable answer.
+/// A failed platform operation.
 #[derive(Debug, Display, Error)]
 pub enum PlatformError {
-    /// No whole answer came.
+    /// No complete answer arrived.
     #[display("{operation}: {source}")]
     Exchange {
-        /// What was asked.
+        /// The operation.
         operation: PlatformOperation,
-        /// Where and why the exchange failed.
+        /// The error of the HTTP exchange.
         source: ExchangeError,
     },
     /// The platform is out of service and did nothing.
     #[display("{operation} at {peer}: out of service")]
     OutOfService {
-        /// What was asked.
+        /// The operation.
         operation: PlatformOperation,
         /// The platform's address.
         peer: SocketAddr,
     },
-    /// The platform refused the request as wrong and did nothing.
+    /// The platform rejected the request as invalid and did nothing.
     #[display("{operation} at {peer}: refused with status {status}")]
     Refused {
-        /// What was asked.
+        /// The operation.
         operation: PlatformOperation,
         /// The platform's address.
         peer: SocketAddr,
-        /// The status of the answer, 400 to 499.
+        /// The HTTP status of the answer, 400 to 499.
         status: u16,
     },
-    /// The answer is none that the protocol knows.
+    /// The answer does not follow the protocol; a write may have taken effect.
     #[display("{operation} at {peer}: answer of status {status} not understood")]
     BadAnswer {
-        /// What was asked.
+        /// The operation.
         operation: PlatformOperation,
         /// The platform's address.
         peer: SocketAddr,
-        /// The status of the answer.
+        /// The HTTP status of the answer.
         status: u16,
     },
 }
 
 impl PlatformError {
-    /// Says whether the operation may have changed what the platform holds.
+    /// Returns whether the operation may have changed stored data.
     pub fn may_have_applied(&self) -> bool {
         match self {
             Self::Exchange { operation, source } => {
-                operation.writes() && source.sent == Sent::MayHaveArrived
+                operation.is_write() && source.sent == Sent::MayHaveArrived
             }
-            Self::BadAnswer { operation, .. } => operation.writes(),
+            Self::BadAnswer { operation, .. } => operation.is_write(),
             Self::OutOfService { .. } | Self::Refused { .. } => false,
         }
     }
--- a/net/src/platform/http_platform.rs
+++ b/net/src/platform/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, as docs/protocols/platform.md writes it down.
+//! The platform over HTTP, as specified in `docs/protocols/platform.md`.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -32,14 +32,14 @@
 use crate::http::HttpSettings;
 use crate::path_segment::encode_segment;
 
-/// A client of the platform over HTTP.
+/// HTTP client of the platform.
 pub struct HttpPlatform {
     client: HttpClient,
     address: SocketAddr,
     timeout: Duration,
 }
 
-/// An answer and what it answers.
+/// A response with its operation and peer, for error messages.
 struct Answer {
     operation: PlatformOperation,
     peer: SocketAddr,
@@ -47,7 +47,7 @@
 }
 
 impl HttpPlatform {
-    /// Returns a client of the platform at `address` that waits at most `timeout` for an answer.
+    /// Creates a client of the platform at `address` whose operations time out after `timeout`.
     pub fn new(address: SocketAddr, settings: HttpSettings, timeout: Duration) -> Self {
         Self {
             client: HttpClient::new(settings),
@@ -113,7 +113,7 @@
                 Ok(CasResult::Conflict(None))
             }
             StatusCode::PRECONDITION_FAILED => Ok(CasResult::Conflict(self.row()?)),
-            _ => Err(self.not_understood()),
+            _ => Err(self.bad_answer()),
         }
     }
 
@@ -121,23 +121,23 @@
         self.response
             .header(ETAG.as_str())
             .and_then(|tag| tag.strip_prefix('"')?.strip_suffix('"')?.parse().ok())
-            .ok_or_else(|| self.not_understood())
+            .ok_or_else(|| self.bad_answer())
     }
 
     fn json<T: DeserializeOwned>(&self) -> Result<T, PlatformError> {
         self.expect_ok()?;
-        serde_json::from_slice(&self.response.body).map_err(|_| self.not_understood())
+        serde_json::from_slice(&self.response.body).map_err(|_| self.bad_answer())
     }
 
     fn expect_ok(&self) -> Result<(), PlatformError> {
         if self.response.status == StatusCode::OK {
             Ok(())
         } else {
-            Err(self.not_understood())
+            Err(self.bad_answer())
         }
     }
 
-    fn not_understood(&self) -> PlatformError {
+    fn bad_answer(&self) -> PlatformError {
         PlatformError::BadAnswer {
             operation: self.operation,
             peer: self.peer,
@@ -167,7 +167,7 @@
             if results.len() == row_count {
                 Ok(results)
             } else {
-                Err(answer.not_understood())
+                Err(answer.bad_answer())
             }
         })
     }
--- a/net/src/platform/instance.rs
+++ b/net/src/platform/instance.rs
@@ -7,25 +7,25 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// What an instance does.
+/// The role of an instance.
 #[key]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceRole {
-    /// Takes callers' submissions.
+    /// Accepts submissions from callers.
     Entry,
     /// Runs tasks.
     Upstream,
 }
 
-/// Whether an instance is to stay.
+/// Whether an instance is in service.
 #[key]
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
     /// In service.
     Live,
-    /// Soon gone; gets no new work.
+    /// About to stop; gets no new work.
     Leaving,
 }
 
@@ -34,24 +34,24 @@
 pub struct ListedInstance {
     /// The instance's name, unique in the list.
     pub name: String,
-    /// What it does.
+    /// The role.
     pub role: InstanceRole,
-    /// The data centre that it stands in.
+    /// The data centre that the instance is in.
     pub data_centre: String,
-    /// Whether it is to stay.
+    /// Whether the instance is in service.
     pub state: InstanceState,
-    /// The id of this run of the process, if it announced one.
+    /// The id of the process's current incarnation, if it announced one.
     pub incarnation: Option<String>,
-    /// Where other entry instances reach it.
+    /// The address for other entry instances.
     pub peer_address: Option<SocketAddr>,
-    /// Where callers or entry instances reach it over HTTP.
+    /// The HTTP address for callers (of an entry) or entry instances (of an upstream).
     pub address: Option<SocketAddr>,
 }
 
-/// The list of instances, which may lag behind the truth.
+/// The list of instances, which may be out of date.
 #[message]
 pub struct InstanceList {
-    /// When the platform made the list, in milliseconds since the Unix epoch.
+    /// The time at which the platform made the list, in milliseconds since the Unix epoch.
     pub listed_at_ms: u64,
     /// The instances, in the order in which they were first listed.
     pub instances: Vec<ListedInstance>,
--- a/net/src/platform/memory_platform.rs
+++ b/net/src/platform/memory_platform.rs
@@ -1,4 +1,4 @@
-//! A platform in the memory of this process.
+//! An in-memory platform.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -18,7 +18,7 @@
 use super::row::Row;
 use crate::unix_time::unix_time_ms;
 
-/// A platform that lives in memory and never fails: for tests, and behind the stand-in server.
+/// A platform in memory that never fails, for tests and for the stand-in server.
 #[derive(Default)]
 pub struct MemoryPlatform(Mutex<State>);
 
@@ -45,7 +45,7 @@
 }
 
 impl MemoryPlatform {
-    /// Takes an instance off the list, as the platform does with one that it has seen end.
+    /// Removes an instance from the list, as the platform does when it has seen the instance end.
     pub fn end_instance(&self, name: &str) {
         self.state().instances.shift_remove(name);
     }
--- a/net/src/platform/resolve.rs
+++ b/net/src/platform/resolve.rs
@@ -1,7 +1,7 @@
-//! Writes that resolve a lost answer by reading back.
+//! Writes that resolve a lost answer by reading the row back.
 //!
-//! Each value must carry a token of its writer that no other value of the row ever carries:
-//! equality of values then proves whose write took effect.
+//! Each value must contain a token of its writer that no other value of the row ever contains, so
+//! that equal values prove whose write took effect.
 
 use bytes::Bytes;
 
@@ -12,9 +12,12 @@
 use super::row::NewRow;
 use super::row::Row;
 
-/// Inserts rows; an answer that was lost after the write may have taken effect is read back.
+/// Inserts rows; if the write may have taken effect without an answer, reads the rows back.
 ///
-/// Errors that remain, also of reading back, say whether the write may have applied.
+/// # Errors
+///
+/// The insert's error if it cannot be resolved, also if reading back fails; it tells whether the
+/// write may have taken effect.
 pub async fn insert_resolved(
     platform: &dyn Platform,
     table: &str,
@@ -34,10 +37,12 @@
     Ok(results)
 }
 
-/// Compares and sets a row; an answer lost after the write may have taken effect is read back.
+/// Compares and sets a row; if the write may have taken effect without an answer, reads the row
+/// back.
 ///
-/// A write that hasn't shown yet, or was overwritten since, can't be told from one that never was:
-/// the first remains an error, the second is a conflict with the row of now.
+/// A write that is not visible yet, or that was overwritten since, cannot be distinguished from one
+/// that never took effect: the first remains an error, the second is a conflict with the current
+/// row.
 pub async fn compare_and_set_resolved(
     platform: &dyn Platform,
     table: &str,
--- a/net/src/platform/row.rs
+++ b/net/src/platform/row.rs
@@ -6,11 +6,11 @@
 
 use super::base64_bytes;
 
-/// A row as stored.
+/// A stored row.
 #[message]
 #[derive(Eq)]
 pub struct Row {
-    /// The revision, which grows with each write of the row. The first is 1.
+    /// The revision, which increases with each write of the row, starting at 1.
     pub revision: u64,
     /// The value, base64 in JSON.
     #[serde(with = "base64_bytes")]
@@ -27,17 +27,17 @@
     pub value: Bytes,
 }
 
-/// What became of one row of an insert.
+/// The outcome of inserting one row.
 #[message]
 #[serde(rename_all = "snake_case")]
 pub enum InsertResult {
     /// The row was absent and now holds the value, at revision 1.
     Inserted,
-    /// The row was there already and is unchanged.
+    /// The row already existed and is unchanged.
     Present(Row),
 }
 
-/// What became of a compare-and-set.
+/// The outcome of a compare-and-set.
 #[value]
 pub enum CasResult {
     /// The value was written.
@@ -45,20 +45,20 @@
         /// The row's new revision.
         revision: u64,
     },
-    /// The row has another revision than expected; it is unchanged. No row means it is absent.
+    /// The row does not have the expected revision and is unchanged; `None` if it is absent.
     Conflict(Option<Row>),
 }
 
-/// The body of an insert call: rows written as one group.
+/// The body of an insert request: rows written in one write of the table.
 #[message]
 pub struct InsertRequest {
     /// The rows, each written if its key is absent.
     pub rows: Vec<NewRow>,
 }
 
-/// The answer to an insert call.
+/// The body of the answer to an insert request.
 #[message]
 pub struct InsertResponse {
-    /// One result for each row, in the same order.
+    /// One result per row, in the same order.
     pub results: Vec<InsertResult>,
 }
--- a/net/src/unix_time.rs
+++ b/net/src/unix_time.rs
@@ -1,9 +1,9 @@
-//! The time of day.
+//! The wall clock.
 
 use std::time::SystemTime;
 use std::time::UNIX_EPOCH;
 
-/// Returns the time since the Unix epoch in milliseconds, or 0 before it.
+/// Returns the time since the Unix epoch in milliseconds, or 0 if the clock is set before it.
 pub fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/net/tests/document_store.rs
+++ b/net/tests/document_store.rs
@@ -1,4 +1,5 @@
-//! Submissions to the documents' store: accepted, raced, and with the platform's answer lost.
+//! Submissions to the document store: accepted, beaten by another, and with the platform's answers
+//! lost.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
@@ -25,16 +26,16 @@
 use smol::future::yield_now;
 use smol::future::zip;
 
-/// A platform whose compare-and-sets take effect and lose their answers, or come second.
+/// A platform whose compare-and-sets take effect while some of their answers are lost.
 #[derive(Default)]
 struct FaultyPlatform {
     memory: Arc<MemoryPlatform>,
-    /// How many answers of compare-and-sets are still to be lost.
+    /// Number of compare-and-sets whose answers are still to be lost.
     lost_answers: AtomicU32,
-    /// How many reads after a lost answer still fail.
+    /// Number of reads that are still to fail once an answer was lost.
     failing_reads: AtomicU32,
-    /// How many answers were lost.
-    lost: AtomicU32,
+    /// Number of answers lost so far.
+    lost_count: AtomicU32,
 }
 
 fn bad_answer(operation: PlatformOperation) -> PlatformError {
@@ -45,16 +46,16 @@
     }
 }
 
-fn take(counter: &AtomicU32) -> bool {
-    let taken = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
+fn decrement(counter: &AtomicU32) -> bool {
+    let decremented = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
         left.checked_sub(1)
     });
-    taken.is_ok()
+    decremented.is_ok()
 }
 
 impl Platform for FaultyPlatform {
     fn read<'a>(&'a self, table: &'a str, key: &'a str) -> PlatformFuture<'a, Option<Row>> {
-        if self.lost.load(Ordering::SeqCst) > 0 && take(&self.failing_reads) {
+        if self.lost_count.load(Ordering::SeqCst) > 0 && decrement(&self.failing_reads) {
             return Box::pin(async { Err(bad_answer(PlatformOperation::Read)) });
         }
         self.memory.read(table, key)
@@ -80,8 +81,8 @@
                 .memory
                 .compare_and_set(table, key, expected, value)
                 .await;
-            if take(&self.lost_answers) {
-                self.lost.fetch_add(1, Ordering::SeqCst);
+            if decrement(&self.lost_answers) {
+                self.lost_count.fetch_add(1, Ordering::SeqCst);
                 return Err(bad_answer(PlatformOperation::CompareAndSet));
             }
             result
@@ -138,7 +139,7 @@
 }
 
 #[test]
-fn accepted_in_turn() {
+fn sequential_submissions_are_accepted() {
     block_on(async {
         let store = site().store;
         assert_eq!(store.head().await.unwrap(), None);
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn stale_revision() {
+fn stale_expected_revision_is_refused() {
     block_on(async {
         let store = site().store;
         accepted(&store, "a", None).await;
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn concurrent_submitters() {
+fn one_of_concurrent_submissions_wins() {
     block_on(async {
         let store = site().store;
         accepted(&store, "start", None).await;
@@ -191,18 +192,18 @@
 }
 
 #[test]
-fn lost_answer() {
+fn lost_answer_is_resolved_by_reading_back() {
     block_on(async {
         let site = site();
         site.platform.lost_answers.store(1, Ordering::SeqCst);
         let head = accepted(&site.store, "a", None).await;
-        assert_eq!(site.platform.lost.load(Ordering::SeqCst), 1);
+        assert_eq!(site.platform.lost_count.load(Ordering::SeqCst), 1);
         assert_eq!(site.store.head().await.unwrap(), Some(head));
     });
 }
 
 #[test]
-fn lost_answer_unread() {
+fn lost_answer_with_failed_read_is_retried() {
     block_on(async {
         let site = site();
         site.platform.lost_answers.store(1, Ordering::SeqCst);
@@ -214,7 +215,7 @@
 }
 
 #[test]
-fn lost_answer_overtaken() {
+fn lost_answer_is_resolved_after_head_was_replaced() {
     block_on(async {
         let site = site();
         let other = DocumentStore::new(site.platform.memory.clone());
@@ -228,7 +229,7 @@
             accepted(&other, "c", Some(2)).await
         };
         let (overtaken, newest) = zip(accepted(&site.store, "b", Some(1)), overtake).await;
-        assert_eq!(site.platform.lost.load(Ordering::SeqCst), 1);
+        assert_eq!(site.platform.lost_count.load(Ordering::SeqCst), 1);
         assert_eq!(site.platform.failing_reads.load(Ordering::SeqCst), 0);
         assert_eq!(overtaken.revision, 2);
         assert_eq!(other.head().await.unwrap(), Some(newest));
@@ -236,7 +237,7 @@
 }
 
 #[test]
-fn answers_never_come() {
+fn outcome_is_unknown_if_no_answer_arrives() {
     block_on(async {
         let site = site();
         site.platform.lost_answers.store(u32::MAX, Ordering::SeqCst);
--- a/net/tests/http_faults.rs
+++ b/net/tests/http_faults.rs
@@ -1,4 +1,4 @@
-//! What an exchange that fails says about its request.
+//! The step and the sent state that failed exchanges report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -49,8 +49,8 @@
     answer: &'static str,
     close: bool,
     step: Step,
-    /// What the error says.
-    says: &'static str,
+    /// Part of the error's text.
+    error_text: &'static str,
 }
 
 const ANSWER_CASES: [AnswerCase; 8] = [
@@ -59,42 +59,42 @@
         answer: "",
         close: true,
         step: Step::Exchange,
-        says: "closed",
+        error_text: "closed",
     },
     AnswerCase {
         name: "head cut",
         answer: "HTTP/1.1 200 OK\r\nContent-Le",
         close: true,
         step: Step::Exchange,
-        says: "closed",
+        error_text: "closed",
     },
     AnswerCase {
         name: "not HTTP",
         answer: "220 mail.example ESMTP\r\n\r\n",
         close: false,
         step: Step::Exchange,
-        says: "HTTP",
+        error_text: "HTTP",
     },
     AnswerCase {
         name: "body cut",
         answer: "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc",
         close: true,
         step: Step::ReadBody,
-        says: "body",
+        error_text: "body",
     },
     AnswerCase {
         name: "chunked body cut",
         answer: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
         close: true,
         step: Step::ReadBody,
-        says: "body",
+        error_text: "body",
     },
     AnswerCase {
         name: "body that ends with the connection",
         answer: "HTTP/1.1 200 OK\r\n\r\nabc",
         close: true,
         step: Step::ReadBody,
-        says: "no stated length",
+        error_text: "no stated length",
     },
     AnswerCase {
         name: "chunked body above the limit",
@@ -104,14 +104,14 @@
         ),
         close: false,
         step: Step::ReadBody,
-        says: "longer than 12 bytes",
+        error_text: "longer than 12 bytes",
     },
     AnswerCase {
         name: "body above the limit",
         answer: "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n",
         close: false,
         step: Step::ReadBody,
-        says: "longer than 12 bytes",
+        error_text: "longer than 12 bytes",
     },
 ];
 
@@ -128,7 +128,7 @@
                 case.name
             );
             let text = error.to_string();
-            assert!(text.contains(case.says), "{}: {text}", case.name);
+            assert!(text.contains(case.error_text), "{}: {text}", case.name);
             assert_eq!(server.heads().len(), 1, "{}", case.name);
         }
     });
@@ -138,7 +138,7 @@
     name: &'static str,
     faults: ProxyFaults,
     step: Step,
-    /// Starts of the task, where the fault leaves no doubt.
+    /// Number of times that the upstream starts the task, over HTTP/1.1.
     starts: u64,
     counter: fn(&ProxyCounters) -> u64,
 }
--- a/net/tests/kept_connections.rs
+++ b/net/tests/kept_connections.rs
@@ -1,4 +1,4 @@
-//! Reuse of connections, their number, and answers that come late.
+//! Reuse of connections, their limit, and late or unsolicited answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn http1_connections_stay_within_the_cap() {
+fn http1_connections_stay_within_the_limit() {
     smol::block_on(async {
         let site = Site::start(Protocol::Http1).await;
         run_many(&site).await;
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn late_answer_reaches_no_other_request() {
+fn late_answer_is_not_given_to_another_request() {
     smol::block_on(async {
         for protocol in [Protocol::Http1, Protocol::Http2] {
             let site = Site::start(protocol).await;
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn unasked_answer_reaches_no_request() {
+fn unsolicited_answer_is_not_given_to_a_request() {
     smol::block_on(async {
         let twice = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na".repeat(2);
         let server = RawServer::start(twice, false).await.unwrap();
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn no_expectation_is_stated() {
+fn expect_header_is_not_sent() {
     smol::block_on(async {
         let server = RawServer::start("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)
             .await
@@ -227,11 +227,11 @@
 }
 
 #[test]
-fn silent_connections_are_not_tried_one_by_one() {
+fn timeout_closes_all_idle_connections() {
     smol::block_on(async {
         let site = Site::start(Protocol::Http1).await;
         run_many(&site).await;
-        // All kept connections go silent, and new ones work.
+        // All existing connections stop delivering; new ones work.
         site.proxy.set_faults(ProxyFaults::black_hole());
         site.run("silent", SHORT_TIMEOUT).await.unwrap_err();
         site.proxy.set_faults(ProxyFaults::default());
--- a/net/tests/lost_answers.rs
+++ b/net/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! A write whose answer is lost is resolved by what the row then holds.
+//! A write whose answer is lost is resolved by reading the row back.
 
 use std::net::SocketAddr;
 
@@ -17,23 +17,24 @@
 use almondhead_net::compare_and_set_resolved;
 use almondhead_net::insert_resolved;
 
-/// What really happened to a write whose answer is lost.
+/// The true outcome of a write whose answer is lost.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
+    /// The write took effect.
     Applied,
-    /// Another writer was faster.
+    /// Another writer's value was written instead.
     Overtaken,
-    /// Nothing, so far.
+    /// The write has not taken effect yet.
     Pending,
 }
 
 /// A platform that loses the answer to each write.
-struct Losing {
+struct LossyPlatform {
     memory: MemoryPlatform,
     fate: Fate,
 }
 
-impl Losing {
+impl LossyPlatform {
     async fn write(&self, key: &str, expected: Option<u64>, ours: Bytes) {
         let value = match self.fate {
             Fate::Applied => ours,
@@ -45,7 +46,7 @@
     }
 }
 
-fn lost<T>(operation: PlatformOperation) -> Result<T, PlatformError> {
+fn lost_answer<T>(operation: PlatformOperation) -> Result<T, PlatformError> {
     Err(PlatformError::BadAnswer {
         operation,
         peer: SocketAddr::from(([127, 0, 0, 1], 1)),
@@ -53,7 +54,7 @@
     })
 }
 
-impl Platform for Losing {
+impl Platform for LossyPlatform {
     fn read<'a>(&'a self, table: &'a str, key: &'a str) -> PlatformFuture<'a, Option<Row>> {
         self.memory.read(table, key)
     }
@@ -67,7 +68,7 @@
             for row in rows {
                 self.write(&row.key, None, row.value).await;
             }
-            lost(PlatformOperation::Insert)
+            lost_answer(PlatformOperation::Insert)
         })
     }
 
@@ -80,7 +81,7 @@
     ) -> PlatformFuture<'a, CasResult> {
         Box::pin(async move {
             self.write(key, expected, value).await;
-            lost(PlatformOperation::CompareAndSet)
+            lost_answer(PlatformOperation::CompareAndSet)
         })
     }
 
@@ -106,20 +107,20 @@
     Row { revision, value }
 }
 
-fn losing(fate: Fate) -> Losing {
+fn lossy_platform(fate: Fate) -> LossyPlatform {
     let memory = MemoryPlatform::default();
-    Losing { memory, fate }
+    LossyPlatform { memory, fate }
 }
 
 #[test]
-fn insert_is_read_back() {
+fn insert_without_answer_is_read_back() {
     let cases = [
         (Fate::Applied, Some(InsertResult::Inserted)),
         (Fate::Overtaken, Some(InsertResult::Present(theirs(1)))),
         (Fate::Pending, None),
     ];
     for (fate, expected) in cases {
-        let platform = losing(fate);
+        let platform = lossy_platform(fate);
         let row = NewRow {
             key: "key".to_owned(),
             value: Bytes::from("ours"),
@@ -134,14 +135,14 @@
 }
 
 #[test]
-fn compare_and_set_is_read_back() {
+fn compare_and_set_without_answer_is_read_back() {
     let cases = [
         (Fate::Applied, Some(CasResult::Written { revision: 2 })),
         (Fate::Overtaken, Some(CasResult::Conflict(Some(theirs(2))))),
         (Fate::Pending, None),
     ];
     for (fate, expected) in cases {
-        let platform = losing(fate);
+        let platform = lossy_platform(fate);
         let outcome = smol::block_on(async {
             let first = platform
                 .memory
--- a/net/tests/platform_contract.rs
+++ b/net/tests/platform_contract.rs
@@ -1,4 +1,4 @@
-//! Each implementation of the platform keeps the same contract.
+//! The contract that each implementation of `Platform` must meet.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use almondhead_testsupport::PlatformStandIn;
 
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// A key that has every kind of byte that a path must encode.
+/// A key with every kind of character that must be encoded in a path.
 const KEY: &str = "a/b%20?c=ä ..";
 
 fn row(key: &str, value: &'static str) -> NewRow {
@@ -57,8 +57,8 @@
     let written = set(Some(1), Bytes::from("two")).await.unwrap();
     assert_eq!(written, CasResult::Written { revision: 2 });
     for expected in [None, Some(1), Some(3)] {
-        let lost = set(expected, Bytes::from("three")).await.unwrap();
-        assert_eq!(lost, CasResult::Conflict(Some(stored(2, "two"))));
+        let conflict = set(expected, Bytes::from("three")).await.unwrap();
+        assert_eq!(conflict, CasResult::Conflict(Some(stored(2, "two"))));
     }
     let absent = platform
         .compare_and_set("heads", "absent", Some(1), Bytes::new())
@@ -99,12 +99,12 @@
 }
 
 #[test]
-fn memory_keeps_the_contract() {
+fn memory_platform_meets_the_contract() {
     smol::block_on(check(&MemoryPlatform::default()));
 }
 
 #[test]
-fn http_keeps_the_contract() {
+fn http_platform_meets_the_contract() {
     smol::block_on(async {
         let server = PlatformStandIn::start(PlatformSettings::default())
             .await
--- a/net/tests/platform_faults.rs
+++ b/net/tests/platform_faults.rs
@@ -1,4 +1,4 @@
-//! The platform client through outages, lost answers and races.
+//! The platform client during outages, lost answers and races.
 
 use std::time::Duration;
 
@@ -56,14 +56,14 @@
     }
 }
 
-fn losing() -> PlatformFaults {
+fn losing_answers() -> PlatformFaults {
     PlatformFaults {
         apply_then_lose: true,
         ..PlatformFaults::default()
     }
 }
 
-fn out(outage: Outage) -> PlatformFaults {
+fn with_outage(outage: Outage) -> PlatformFaults {
     PlatformFaults {
         outage,
         ..PlatformFaults::default()
@@ -73,7 +73,7 @@
 #[test]
 fn lost_insert_is_resolved() {
     smol::block_on(async {
-        let site = Site::start(losing()).await;
+        let site = Site::start(losing_answers()).await;
         let raw = site
             .platform
             .insert_if_absent("other", vec![row("x")])
@@ -93,7 +93,7 @@
 #[test]
 fn lost_compare_and_set_is_resolved() {
     smol::block_on(async {
-        let site = Site::start(losing()).await;
+        let site = Site::start(losing_answers()).await;
         let written = site.set(None, "one").await.unwrap();
         assert_eq!(written, CasResult::Written { revision: 1 });
         let written = site.set(Some(1), "two").await.unwrap();
@@ -102,8 +102,8 @@
             revision: 2,
             value: Bytes::from("two"),
         };
-        let lost = site.set(Some(1), "three").await.unwrap();
-        assert_eq!(lost, CasResult::Conflict(Some(stored)));
+        let conflict = site.set(Some(1), "three").await.unwrap();
+        assert_eq!(conflict, CasResult::Conflict(Some(stored)));
         assert_eq!(site.server.counters().lost_answers, 2);
     });
 }
@@ -111,7 +111,7 @@
 #[test]
 fn refusing_outage_applies_nothing() {
     smol::block_on(async {
-        let site = Site::start(out(Outage::Refusing)).await;
+        let site = Site::start(with_outage(Outage::Refusing)).await;
         let error = site.insert("ours").await.unwrap_err();
         assert!(matches!(error, PlatformError::OutOfService { .. }));
         assert!(!error.may_have_applied());
@@ -124,7 +124,7 @@
 #[test]
 fn silent_outage_leaves_a_write_unresolved() {
     smol::block_on(async {
-        let site = Site::start(out(Outage::Silent)).await;
+        let site = Site::start(with_outage(Outage::Silent)).await;
         let error = site.set(None, "ours").await.unwrap_err();
         assert!(error.may_have_applied(), "{error}");
         assert!(site.platform.list_instances().await.is_err());
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn slow_answer_within_the_limit_is_taken() {
+fn slow_answer_within_the_timeout_is_accepted() {
     smol::block_on(async {
         let site = Site::start(PlatformFaults {
             slow_ms: 50,
--- a/net/tests/sent_witness.rs
+++ b/net/tests/sent_witness.rs
@@ -1,4 +1,4 @@
-//! The upstream's record of starts bears out what each exchange says about its request.
+//! Checks what each exchange reports as sent against the upstream's record of starts.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 
 const TASKS: usize = 240;
 const TIMEOUT: Duration = Duration::from_millis(60);
-/// Longer than any request is under way.
-const SETTLE: Duration = Duration::from_millis(300);
+/// Longer than any request stays in flight.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
 #[derive(Default)]
 struct Counts {
@@ -25,8 +25,8 @@
     may_have_arrived: usize,
 }
 
-/// Brings about another fault for each task in turn.
-async fn bring_about_fault(proxy: &FaultProxy, number: usize) {
+/// Injects the fault for the task of this number.
+async fn inject_fault(proxy: &FaultProxy, number: usize) {
     proxy.heal().await.unwrap();
     let bytes = (number * 37 % 400) as u64;
     match number % 8 {
@@ -63,7 +63,7 @@
     });
     let mut outcomes = Vec::with_capacity(TASKS);
     for number in 0..TASKS {
-        bring_about_fault(&proxy, number).await;
+        inject_fault(&proxy, number).await;
         let id = format!("task-{number}");
         let mut request = HttpRequest::new(Method::POST, proxy.address(), "/v1/tasks");
         request.headers.insert("task-id", id.parse().unwrap());
@@ -71,7 +71,7 @@
         outcomes.push((id, outcome));
     }
     proxy.heal().await.unwrap();
-    smol::Timer::after(SETTLE).await;
+    smol::Timer::after(SETTLE_TIME).await;
 
     let mut counts = Counts::default();
     for (id, outcome) in outcomes {
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn record_bears_out_http1() {
+fn sent_state_matches_starts_over_http1() {
     smol::block_on(check(Protocol::Http1));
 }
 
 #[test]
-fn record_bears_out_http2() {
+fn sent_state_matches_starts_over_http2() {
     smol::block_on(check(Protocol::Http2));
 }
