--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -110,7 +110,7 @@
             Timer::after(Duration::from_millis(1_500)).await;
         }
         for upstream in &site.upstreams {
-            assert!(upstream.most_at_once() <= 1);
+            assert!(upstream.max_concurrent_runs() <= 1);
             assert_eq!(upstream.running(), 0);
         }
         assert!(site.overlaps().is_empty(), "{:?}", site.overlaps());
