--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -513,8 +513,8 @@
     let RunSpan { run, is_done, .. } = span;
     format!(
         "#{run} {:.1} to {:.1} ms, done {is_done}",
-        ms(span.from),
-        ms(span.to)
+        ms(span.started_at),
+        ms(span.ended_at)
     )
 }
 
