--- a/entry/src/run_driver.rs
+++ b/entry/src/run_driver.rs
@@ -210,7 +210,7 @@
         let metrics = self.effects.metrics.clone();
         executor::spawn(async move {
             let sent_at = std::time::Instant::now();
-            let answer = orders.give(&addressed_order).await;
+            let answer = orders.send(&addressed_order).await;
             metrics.count_order(&addressed_order.order, &answer, sent_at.elapsed());
             handle.send(RunEvent::OrderAnswered { order, answer });
         });
