--- a/lib/testsupport/src/core_document.rs
+++ b/lib/testsupport/src/core_document.rs
@@ -1,6 +1,6 @@
-//! The document that tests of the core start from.
+//! The document that tests of the core use.
 
-/// A document with two data centres, one service and a few upstreams of two slots.
+/// A document with two data centres, one service, one team and three upstreams of two slots each.
 pub const DOCUMENT: &str = r#"{
   "firm": "test",
   "policies": { "retry_percent": 100 },
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -1,4 +1,6 @@
-//! Small fakes of caller, upstream, table and peer network round real dispatchers.
+//! Fake callers, upstreams, claims table and peer network around real dispatchers.
+//!
+//! The test decides the order in which messages arrive, attempts end and claims are answered.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,9 +32,9 @@
 
 pub use crate::core_document::DOCUMENT;
 pub use crate::core_traffic::Envelope;
-pub use crate::core_traffic::KnownJob;
 pub use crate::core_traffic::OpenAttempt;
 pub use crate::core_traffic::OpenClaim;
+pub use crate::core_traffic::SubmittedJob;
 pub use crate::core_traffic::TableEnd;
 use crate::core_traffic::TaskStart;
 pub use crate::core_traffic::UpstreamEnd;
@@ -40,24 +42,31 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const DATA_CENTRES: [&str; 3] = ["east", "east", "west"];
 
-/// Three dispatchers in two data centres, and the fakes round them.
+/// Three dispatchers in two data centres, and the fakes around them.
+///
+/// Dispatchers are referred to by their index, jobs by the index in [`CoreFakes::jobs`].
 pub struct CoreFakes {
-    /// The time at every dispatcher.
+    /// The current time, the same for all dispatchers.
     pub now: Timestamp,
     /// The dispatchers, `a` and `b` in one data centre and `c` in the other.
     pub dispatchers: Vec<Dispatcher>,
-    /// Messages under way.
+    /// Peer messages that are in flight.
     pub messages: Vec<Envelope>,
-    /// Attempts at upstreams.
+    /// Attempts that have not ended at their upstream.
     pub attempts: Vec<OpenAttempt>,
-    /// Claims at the table.
+    /// Claims and lookups that the table has not answered.
     pub claims: Vec<OpenClaim>,
-    /// Every job submitted.
-    pub jobs: Vec<KnownJob>,
-    faults: String,
+    /// All jobs submitted so far.
+    pub jobs: Vec<SubmittedJob>,
+    /// The violations seen while answers were handled, a line each.
+    violations: String,
+    /// The job of each request without an answer.
     requests: IndexMap<RequestId, usize>,
-    started: IndexMap<TaskStart, u32>,
+    /// How often each task has started for certain.
+    starts: IndexMap<TaskStart, u32>,
+    /// The claimant and the claim's number of each key.
     table: IndexMap<Arc<str>, (PeerIdentity, u64)>,
+    /// The open session of each instance, with the number of its next job.
     sessions: [Option<(SessionId, u64)>; NAMES.len()],
     next_incarnation: u64,
     next_request: u64,
@@ -70,7 +79,7 @@
 }
 
 impl CoreFakes {
-    /// Dispatchers with the document and each other's names.
+    /// Returns dispatchers that have the document and list each other as siblings.
     pub fn new() -> Self {
         let mut fakes = CoreFakes {
             now: Timestamp::from_us(1_000_000),
@@ -79,9 +88,9 @@
             attempts: Vec::new(),
             claims: Vec::new(),
             jobs: Vec::new(),
-            faults: String::new(),
+            violations: String::new(),
             requests: IndexMap::new(),
-            started: IndexMap::new(),
+            starts: IndexMap::new(),
             table: IndexMap::new(),
             sessions: [const { None }; NAMES.len()],
             next_incarnation: 1,
@@ -113,12 +122,13 @@
         })
     }
 
+    /// Gives a dispatcher its siblings and the document.
     fn prepare(&mut self, instance: usize) {
         let siblings = (0..NAMES.len()).filter(|other| *other != instance);
         let siblings = siblings.map(|other| Sibling {
             name: Arc::from(NAMES[other]),
             data_centre: Arc::from(DATA_CENTRES[other]),
-            peer_address: "127.0.0.1:1".parse().expect("an address"),
+            peer_address: "127.0.0.1:1".parse().expect("the address is valid"),
             incarnation: None,
             leaving: false,
         });
@@ -130,11 +140,11 @@
         self.install(instance, 1, DOCUMENT);
     }
 
-    /// Hands a document to one dispatcher.
+    /// Installs a document at one dispatcher.
     ///
     /// # Panics
     ///
-    /// When the document is not valid.
+    /// If the document is not valid.
     pub fn install(&mut self, instance: usize, revision: u64, text: &str) {
         let document = almondhead_lib::check::check_document(text);
         let document: Document = document.expect("the document is valid");
@@ -148,19 +158,19 @@
         );
     }
 
-    /// Hands an event to a dispatcher and carries its actions out.
+    /// Delivers an event to a dispatcher and executes the resulting actions.
     pub fn handle(&mut self, instance: usize, event: Event) {
         let mut actions = Vec::new();
         self.dispatchers[instance].handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(instance, action);
+            self.execute(instance, action);
         }
     }
 
-    fn carry_out(&mut self, instance: usize, action: Action) {
+    fn execute(&mut self, instance: usize, action: Action) {
         let incarnation = self.dispatchers[instance].incarnation();
         match action {
-            Action::Answer { request, answer } => self.take_answer(request, &answer),
+            Action::Answer { request, answer } => self.handle_answer(request, &answer),
             Action::StartAttempt(attempt) => self.attempts.push(OpenAttempt {
                 instance,
                 incarnation,
@@ -172,14 +182,14 @@
                 incarnation,
                 claim,
                 key,
-                writes: true,
+                is_write: true,
             }),
             Action::FindHome { claim, key, .. } => self.claims.push(OpenClaim {
                 instance,
                 incarnation,
                 claim,
                 key,
-                writes: false,
+                is_write: false,
             }),
             Action::SendPeer {
                 instance: to,
@@ -191,38 +201,40 @@
                         instance: Arc::from(NAMES[instance]),
                         incarnation,
                     },
-                    to: to.expect("a known instance"),
+                    to: to.expect("the receiver is one of the instances"),
                     message,
                 });
             }
         }
     }
 
-    fn take_answer(&mut self, request: RequestId, answer: &JobAnswer) {
+    fn handle_answer(&mut self, request: RequestId, answer: &JobAnswer) {
         let Some(job) = self.requests.swap_remove(&request) else {
-            self.faults += &format!("{request:?} was answered twice or never asked\n");
+            self.violations += &format!("{request:?} was answered twice or never sent\n");
             return;
         };
-        let known = &mut self.jobs[job];
-        known.open_requests -= 1;
-        known.last_answer = Some(answer.clone());
+        let submitted = &mut self.jobs[job];
+        submitted.open_requests -= 1;
+        submitted.last_answer = Some(answer.clone());
         match answer {
-            JobAnswer::NotRun { .. } => known.not_run_answers += 1,
-            JobAnswer::Failed { .. } => known.failed_answers += 1,
+            JobAnswer::NotRun { .. } => submitted.not_run_answers += 1,
+            JobAnswer::Failed { .. } => submitted.failed_answers += 1,
             JobAnswer::Complete { results } => {
-                known.complete_answers += 1;
-                if *results != known.submission.inputs {
-                    self.faults += &format!("job {job} got another's answer: {results:?}\n");
+                submitted.complete_answers += 1;
+                if *results != submitted.submission.inputs {
+                    self.violations +=
+                        &format!("job {job} got the results of another job: {results:?}\n");
                 }
             }
         }
     }
 
-    /// Submits a job in the session of an instance, which is opened when there is none.
+    /// Submits a job in the session of an instance, which is opened if there is none; returns the
+    /// job.
     pub fn submit_in_session(&mut self, instance: usize, tasks: usize) -> usize {
         let incarnation = self.dispatchers[instance].incarnation();
-        let known = self.sessions[instance].take();
-        let (session, number) = known
+        let current = self.sessions[instance].take();
+        let (session, number) = current
             .filter(|(session, _)| session.home == incarnation)
             .unwrap_or_else(|| (self.open_session(instance), 0));
         self.sessions[instance] = Some((session.clone(), number + 1));
@@ -231,17 +243,17 @@
 
     fn open_session(&mut self, instance: usize) -> SessionId {
         let session = self.dispatchers[instance].open_session(self.now);
-        session.expect("a session")
+        session.expect("the dispatcher opens a session")
     }
 
-    /// Leaves out job numbers of the session of an instance.
+    /// Skips `count` job numbers of the session of an instance.
     pub fn skip_numbers(&mut self, instance: usize, count: u64) {
         if let Some((_, number)) = &mut self.sessions[instance] {
             *number += count;
         }
     }
 
-    /// Submits a job by an idempotency key.
+    /// Submits a job under an idempotency key; returns the job.
     pub fn submit_by_key(&mut self, instance: usize, tasks: usize) -> usize {
         let address = JobAddress::Key {
             team: Arc::from("sales"),
@@ -263,7 +275,7 @@
             inputs: inputs.collect(),
             traceparent: None,
         });
-        self.jobs.push(KnownJob {
+        self.jobs.push(SubmittedJob {
             address,
             submission,
             open_requests: 0,
@@ -276,7 +288,7 @@
         job
     }
 
-    /// Submits a known job, through any instance.
+    /// Submits a job again, through any instance.
     pub fn submit_again(&mut self, job: usize, instance: usize) {
         let request = self.new_request(job);
         let address = self.jobs[job].address.clone();
@@ -291,7 +303,7 @@
         );
     }
 
-    /// Cancels a known job, through any instance.
+    /// Cancels a job, through any instance.
     pub fn cancel(&mut self, job: usize, instance: usize) {
         let request = self.new_request(job);
         let address = self.jobs[job].address.clone();
@@ -306,17 +318,17 @@
         request
     }
 
-    /// The latest answer about a job.
+    /// Returns the latest answer about a job.
     ///
     /// # Panics
     ///
-    /// When there was none.
+    /// If there was none.
     pub fn last_answer(&self, job: usize) -> JobAnswer {
         let answer = self.jobs[job].last_answer.clone();
-        answer.expect("an answer")
+        answer.expect("the job has been answered")
     }
 
-    /// Delivers a message and keeps a copy when `again`.
+    /// Delivers the message at `index`, which stays in flight if `again` is set.
     pub fn deliver(&mut self, index: usize, again: bool) {
         let envelope = if again {
             self.messages[index].clone()
@@ -330,7 +342,11 @@
         self.handle(envelope.to, event);
     }
 
-    /// Delivers every message, and those that they cause.
+    /// Delivers all messages in flight, and those that they cause.
+    ///
+    /// # Panics
+    ///
+    /// If 10000 deliveries are not enough.
     pub fn deliver_all(&mut self) {
         for _ in 0..10_000 {
             if self.messages.is_empty() {
@@ -338,10 +354,10 @@
             }
             self.deliver(0, false);
         }
-        panic!("messages without end");
+        panic!("messages are still in flight after 10000 deliveries");
     }
 
-    /// Ends an attempt at its upstream.
+    /// Ends the attempt at `index`; an instance restarted since the attempt is not told.
     pub fn end_attempt(&mut self, index: usize, end: UpstreamEnd) {
         let open = self.attempts.remove(index);
         let end = match end {
@@ -354,7 +370,7 @@
         };
         if !matches!(end, AttemptEnd::NotStarted(_)) {
             let start = task_start(&open.attempt);
-            *self.started.entry(start).or_default() += 1;
+            *self.starts.entry(start).or_default() += 1;
         }
         if self.dispatchers[open.instance].incarnation() == open.incarnation {
             let attempt = open.attempt.attempt;
@@ -362,7 +378,7 @@
         }
     }
 
-    /// Lets the table answer a claim.
+    /// Ends the claim at `index`; an instance restarted since the claim is not told.
     pub fn end_claim(&mut self, index: usize, end: TableEnd) {
         let open = self.claims.remove(index);
         let identity = PeerIdentity {
@@ -370,7 +386,7 @@
             incarnation: open.incarnation,
         };
         let row = self.table.get(&open.key).cloned();
-        if row.is_none() && open.writes && !matches!(end, TableEnd::Unavailable) {
+        if row.is_none() && open.is_write && !matches!(end, TableEnd::Unavailable) {
             let token = open.claim;
             self.table
                 .insert(open.key.clone(), (identity.clone(), token));
@@ -378,7 +394,7 @@
         let answer = match (end, row) {
             (TableEnd::ApplyAndLose | TableEnd::Unavailable, _) => ClaimEnd::Unavailable,
             (TableEnd::Answer, Some((home, claim))) => ClaimEnd::Theirs { home, claim },
-            (TableEnd::Answer, None) if open.writes => ClaimEnd::Ours,
+            (TableEnd::Answer, None) if open.is_write => ClaimEnd::Ours,
             (TableEnd::Answer, None) => ClaimEnd::Unclaimed,
         };
         if self.dispatchers[open.instance].incarnation() == open.incarnation {
@@ -387,7 +403,7 @@
         }
     }
 
-    /// Lets time pass at every dispatcher.
+    /// Advances the time and delivers a tick to all dispatchers.
     pub fn advance(&mut self, duration: Duration) {
         self.now = self.now + duration;
         for instance in 0..self.dispatchers.len() {
@@ -395,16 +411,16 @@
         }
     }
 
-    /// Kills an instance and starts it anew; its callers get no answer.
+    /// Kills an instance and starts a new incarnation; requests in flight get no answer.
     pub fn restart(&mut self, instance: usize) {
         self.dispatchers[instance] = self.new_dispatcher(instance);
         self.prepare(instance);
     }
 
-    /// Every promise that does not hold now, a line each; empty when all hold.
+    /// Returns the violated guarantees, a line each; empty if there are none.
     pub fn broken_promises(&self) -> String {
-        let mut broken = self.faults.clone();
-        let mut possible = self.started.clone();
+        let mut broken = self.violations.clone();
+        let mut possible = self.starts.clone();
         for open in &self.attempts {
             *possible.entry(task_start(&open.attempt)).or_default() += 1;
         }
@@ -416,7 +432,9 @@
             let only_not_run =
                 job.open_requests == 0 && job.complete_answers + job.failed_answers == 0;
             if *count > 0 && only_not_run {
-                broken += &format!("{start:?} may have started after \"not run\"\n");
+                broken += &format!(
+                    "{start:?} may have started although its job was answered as not run\n"
+                );
             }
         }
         broken
@@ -424,10 +442,10 @@
 }
 
 fn task_start(attempt: &Attempt) -> TaskStart {
-    let input = std::str::from_utf8(&attempt.input).expect("a text");
-    let (job, index) = input.split_once('/').expect("job and index");
+    let input = std::str::from_utf8(&attempt.input).expect("the input is UTF-8");
+    let (job, index) = input.split_once('/').expect("the input is JOB/INDEX");
     TaskStart {
-        job: job.parse().expect("a job"),
-        index: index.parse().expect("an index"),
+        job: job.parse().expect("the job is a number"),
+        index: index.parse().expect("the index is a number"),
     }
 }
--- a/lib/testsupport/src/core_traffic.rs
+++ b/lib/testsupport/src/core_traffic.rs
@@ -1,4 +1,4 @@
-//! What the fakes round the dispatchers hand to each other.
+//! The messages, attempts, claims and jobs that the fakes around the dispatchers exchange.
 
 use std::sync::Arc;
 
@@ -13,42 +13,42 @@
 /// How a fake upstream ends an attempt.
 #[derive(Clone, Copy, Debug)]
 pub enum UpstreamEnd {
-    /// It runs the task and answers whole.
+    /// It runs the task, and the complete answer arrives.
     Finish,
-    /// It runs the task and answers that it failed.
+    /// It runs the task and answers that the task failed.
     Fail,
-    /// Its guard refuses the task.
+    /// Its concurrency guard refuses the task, which does not start.
     Refuse,
-    /// It runs the task and the answer is lost.
+    /// It runs the task, and the answer is lost.
     Lose,
 }
 
 /// How the fake table ends a claim.
 #[derive(Clone, Copy, Debug)]
 pub enum TableEnd {
-    /// The claim takes effect when it is the first, and the answer arrives.
+    /// The claim takes effect if the key is unclaimed, and the answer arrives.
     Answer,
-    /// The claim takes effect when it is the first, and the answer is lost.
+    /// The claim takes effect if the key is unclaimed, and the answer is lost.
     ApplyAndLose,
-    /// Nothing takes effect.
+    /// The table is unavailable: the claim does not take effect.
     Unavailable,
 }
 
-/// A message under way.
+/// A peer message in flight.
 #[derive(Clone, Debug)]
 pub struct Envelope {
-    /// Who sent it.
+    /// The incarnation that sent it.
     pub sender: PeerIdentity,
-    /// The place of the instance that it is for.
+    /// The index of the receiving instance.
     pub to: usize,
     /// The message.
     pub message: PeerMessage,
 }
 
-/// A task that an upstream got.
+/// An attempt that has not ended at its upstream.
 #[derive(Clone, Debug)]
 pub struct OpenAttempt {
-    /// The place of the instance that sent it.
+    /// The index of the instance that sent it.
     pub instance: usize,
     /// The incarnation that sent it.
     pub incarnation: Incarnation,
@@ -56,35 +56,37 @@
     pub attempt: Attempt,
 }
 
-/// A claim that the table has not answered.
+/// A claim of a key, or a lookup of its claimant, that the table has not answered.
 #[derive(Clone, Debug)]
 pub struct OpenClaim {
     pub(crate) instance: usize,
     pub(crate) incarnation: Incarnation,
     pub(crate) claim: u64,
     pub(crate) key: Arc<str>,
-    pub(crate) writes: bool,
+    /// True for a claim, false for a lookup.
+    pub(crate) is_write: bool,
 }
 
-/// A job as its caller knows it.
+/// A submitted job and the answers that its callers have received.
 #[derive(Debug)]
-pub struct KnownJob {
-    /// Its address.
+pub struct SubmittedJob {
+    /// The job's address.
     pub address: JobAddress,
-    /// What was submitted.
+    /// The submission, the same for all requests.
     pub submission: Arc<Submission>,
-    /// Requests about it that have no answer.
+    /// The number of requests without an answer.
     pub open_requests: usize,
-    /// Answers that nothing of it ran.
+    /// The number of answers that none of its tasks ran.
     pub not_run_answers: usize,
-    /// Complete answers.
+    /// The number of complete answers.
     pub complete_answers: usize,
-    /// Answers that it failed.
+    /// The number of answers that the job failed.
     pub failed_answers: usize,
-    /// The latest answer.
+    /// The latest answer, if any.
     pub last_answer: Option<JobAnswer>,
 }
 
+/// A task, by the index of its job and its own index in the job.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TaskStart {
     pub(crate) job: usize,
--- a/lib/testsupport/src/platform.rs
+++ b/lib/testsupport/src/platform.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform: table, object store and a list of instances that lags.
+//! A stand-in for the platform: a table, an object store and a list of instances that can lag.
 
 mod counters;
 mod faults;
--- a/lib/testsupport/src/platform/handler.rs
+++ b/lib/testsupport/src/platform/handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of the platform stand-in, as docs/protocols/platform.md writes it down.
+//! The HTTP interface of the platform stand-in, as specified in docs/protocols/platform.md.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,17 +27,17 @@
 use crate::request::read_json;
 use crate::request::to_json;
 
-/// How often a request held by a silent outage looks whether the outage is over.
-const OUTAGE_POLL: Duration = Duration::from_millis(20);
-/// How long a silent outage holds a connection at most.
-const SILENCE_LIMIT: Duration = Duration::from_secs(60);
+/// How often a request held by a silent outage checks whether the outage is over.
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// The maximum time for which a silent outage holds a request.
+const MAX_HOLD_TIME: Duration = Duration::from_secs(60);
 
-/// Serves the interface.
+/// Handles the stand-in's HTTP requests.
 pub(crate) struct PlatformHandler {
     state: Arc<PlatformState>,
 }
 
-/// What a request asks for.
+/// The resource that a request addresses.
 enum Route {
     Row { table: String, key: String },
     Insert { table: String },
@@ -60,9 +60,9 @@
                 self.state.count(|counters| counters.refused += 1);
                 return conn.with_status(Status::ServiceUnavailable);
             }
-            Outage::Silent => return self.hold(conn).await,
+            Outage::Silent => return self.hold_silently(conn).await,
         }
-        let Some(route) = Route::of(conn.method(), conn.path()) else {
+        let Some(route) = Route::parse(conn.method(), conn.path()) else {
             return conn.with_status(Status::NotFound);
         };
         let conn = match (conn.method(), route) {
@@ -80,8 +80,8 @@
             }
             _ => Ok(conn.with_status(Status::MethodNotAllowed)),
         };
-        let conn = conn.expect("memory never fails");
-        self.slow_down().await;
+        let conn = conn.expect("the in-memory platform never fails");
+        self.delay_answer().await;
         conn
     }
 
@@ -95,7 +95,8 @@
     }
 
     async fn compare_and_set(&self, mut conn: Conn, table: &str, key: &str) -> Outcome {
-        let (Some(value), Some(expected)) = (read_body(&mut conn).await, expected(&conn)) else {
+        let (Some(value), Some(expected)) = (read_body(&mut conn).await, expected_revision(&conn))
+        else {
             return Ok(conn.with_status(Status::BadRequest));
         };
         let memory = &self.state.memory;
@@ -103,7 +104,7 @@
         Ok(match result {
             CasResult::Written { revision } => {
                 self.state.count(|counters| counters.rows_written += 1);
-                self.written(conn.with_response_header("etag", tag(revision)), "{}")
+                self.answer_write(conn.with_response_header("etag", etag(revision)), "{}")
             }
             CasResult::Conflict(None) => conn.with_status(Status::PreconditionFailed),
             CasResult::Conflict(Some(row)) => {
@@ -124,7 +125,7 @@
             .count();
         self.state
             .count(|counters| counters.rows_written += inserted as u64);
-        Ok(self.written(conn, to_json(&InsertResponse { results })))
+        Ok(self.answer_write(conn, to_json(&InsertResponse { results })))
     }
 
     async fn put_object(&self, mut conn: Conn, name: &str) -> Outcome {
@@ -132,7 +133,7 @@
             return Ok(conn.with_status(Status::BadRequest));
         };
         self.state.memory.put_object(name, body).await?;
-        Ok(self.written(conn, "{}"))
+        Ok(self.answer_write(conn, "{}"))
     }
 
     async fn get_object(&self, conn: Conn, name: &str) -> Outcome {
@@ -158,8 +159,8 @@
         Ok(conn.ok("{}"))
     }
 
-    /// Answers a write that took effect, or loses the answer.
-    fn written(&self, conn: Conn, body: impl Into<Vec<u8>>) -> Conn {
+    /// Answers an applied write, or loses the answer under the fault `apply_then_lose`.
+    fn answer_write(&self, conn: Conn, body: impl Into<Vec<u8>>) -> Conn {
         let body = body.into();
         self.state.count_write();
         if !self.state.faults().apply_then_lose {
@@ -169,16 +170,18 @@
         conn.ok(broken_body(Vec::new(), body.len() as u64))
     }
 
-    async fn hold(&self, conn: Conn) -> Conn {
+    /// Holds a request until the silent outage ends, then closes the connection without an answer.
+    async fn hold_silently(&self, conn: Conn) -> Conn {
         self.state.count(|counters| counters.unanswered += 1);
         let held_at = Instant::now();
-        while self.state.faults().outage == Outage::Silent && held_at.elapsed() < SILENCE_LIMIT {
-            Timer::after(OUTAGE_POLL).await;
+        while self.state.faults().outage == Outage::Silent && held_at.elapsed() < MAX_HOLD_TIME {
+            Timer::after(OUTAGE_POLL_INTERVAL).await;
         }
         conn.ok(broken_body(Vec::new(), 1))
     }
 
-    async fn slow_down(&self) {
+    /// Waits for the delay of the fault `slow_ms`.
+    async fn delay_answer(&self) {
         let slow_ms = self.state.faults().slow_ms;
         if slow_ms > 0 {
             self.state.count(|counters| counters.slowed += 1);
@@ -204,7 +207,8 @@
 }
 
 impl Route {
-    fn of(method: Method, path: &str) -> Option<Self> {
+    /// Parses the path of a request; none if no resource has this path.
+    fn parse(method: Method, path: &str) -> Option<Self> {
         let segments = path.split('/').skip(1).map(decode_segment);
         let segments = segments.collect::<Option<Vec<_>>>()?;
         let segments = segments.iter().map(String::as_str).collect::<Vec<_>>();
@@ -230,21 +234,22 @@
 }
 
 fn with_row(conn: Conn, row: Row) -> Conn {
-    conn.with_response_header("etag", tag(row.revision))
+    conn.with_response_header("etag", etag(row.revision))
         .with_body(row.value.to_vec())
 }
 
-fn tag(revision: u64) -> String {
+fn etag(revision: u64) -> String {
     format!("\"{revision}\"")
 }
 
-/// Returns the revision that the request expects, or nothing where it states no condition.
-fn expected(conn: &Conn) -> Option<Option<u64>> {
+/// Returns the condition of a write: `Some(None)` if the row must be absent, `Some(Some(revision))`
+/// if it must have this revision, and none if the request states no valid condition.
+fn expected_revision(conn: &Conn) -> Option<Option<u64>> {
     if header(conn, "if-none-match").as_deref() == Some("*") {
         return Some(None);
     }
-    let tag = header(conn, "if-match")?;
-    let revision = tag.strip_prefix('"')?.strip_suffix('"')?.parse().ok()?;
+    let etag = header(conn, "if-match")?;
+    let revision = etag.strip_prefix('"')?.strip_suffix('"')?.parse().ok()?;
     Some(Some(revision))
 }
 
--- a/lib/testsupport/src/platform/lagging_list.rs
+++ b/lib/testsupport/src/platform/lagging_list.rs
@@ -1,4 +1,4 @@
-//! A list of instances that is served as it was some time ago.
+//! The history of the list of instances, from which an outdated list can be served.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,34 +6,35 @@
 
 use almondhead_net::InstanceList;
 
-/// How many changes of the list are kept.
-const KEPT_CHANGES: usize = 1_000;
+/// The number of versions of the list that are kept.
+const MAX_VERSIONS: usize = 1_000;
 
-/// The list's changes, oldest first.
+/// The versions of the list, oldest first.
 #[derive(Default)]
-pub(crate) struct LaggingList(VecDeque<Change>);
+pub(crate) struct LaggingList(VecDeque<Version>);
 
-struct Change {
-    at: Instant,
+struct Version {
+    recorded_at: Instant,
     list: InstanceList,
 }
 
 impl LaggingList {
+    /// Adds a version and drops the oldest one if there are too many.
     pub(crate) fn record(&mut self, list: InstanceList) {
-        let at = Instant::now();
-        self.0.push_back(Change { at, list });
-        if self.0.len() > KEPT_CHANGES {
+        let recorded_at = Instant::now();
+        self.0.push_back(Version { recorded_at, list });
+        if self.0.len() > MAX_VERSIONS {
             self.0.pop_front();
         }
     }
 
-    /// Returns the list as of `lag` ago, or an empty one from before the first change.
+    /// Returns the version that was current `lag` ago; empty if that is before the oldest kept one.
     pub(crate) fn as_of(&self, lag: Duration) -> InstanceList {
         self.0
             .iter()
             .rev()
-            .find(|change| change.at.elapsed() >= lag)
-            .map_or_else(empty_list, |change| change.list.clone())
+            .find(|version| version.recorded_at.elapsed() >= lag)
+            .map_or_else(empty_list, |version| version.list.clone())
     }
 }
 
--- a/lib/testsupport/src/platform/stand_in.rs
+++ b/lib/testsupport/src/platform/stand_in.rs
@@ -17,7 +17,7 @@
 /// Settings of a platform stand-in.
 #[value]
 pub struct PlatformSettings {
-    /// Where it listens; port 0 takes any free one.
+    /// The address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
 }
 
@@ -49,45 +49,46 @@
         self.server.address()
     }
 
-    /// Puts these faults in force, in place of the ones before.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: PlatformFaults) {
         self.state.set_faults(faults);
     }
 
-    /// Returns what it did so far.
+    /// Returns its counters.
     pub fn counters(&self) -> PlatformCounters {
         self.state.counters()
     }
 
-    /// Returns its rows, objects and list, past all faults and counters.
+    /// Returns its rows, objects and list of instances; access to them is neither counted nor
+    /// subject to faults.
     pub fn contents(&self) -> &dyn Platform {
         &self.state.memory
     }
 
-    /// Puts an instance on the list.
+    /// Adds an instance to the list.
     pub async fn announce(&self, instance: ListedInstance) {
         let announced = self.state.announce(instance).await;
-        announced.expect("memory never fails");
+        announced.expect("the in-memory platform never fails");
     }
 
-    /// Marks an instance as leaving; one not listed is passed over.
+    /// Marks an instance as leaving; an instance that is not listed is ignored.
     pub async fn set_leaving(&self, name: &str) {
         let marked = self.state.set_leaving(name).await;
-        marked.expect("memory never fails");
+        marked.expect("the in-memory platform never fails");
     }
 
-    /// Lists an instance under another peer address than its own, as that of a proxy before it.
+    /// Lists an instance under another peer address than its own, such as that of a proxy.
     pub fn set_peer_address(&self, name: &str, address: SocketAddr) {
         self.state.set_peer_address(name, address);
     }
 
-    /// Takes an instance off the list, as one that the platform has seen end.
+    /// Removes an instance from the list, as if the platform had detected its end.
     pub async fn end_instance(&self, name: &str) {
         let ended = self.state.end_instance(name).await;
-        ended.expect("memory never fails");
+        ended.expect("the in-memory platform never fails");
     }
 
-    /// Waits until the server has ended.
+    /// Waits until the server has stopped.
     pub async fn ended(&self) {
         self.server.ended().await;
     }
--- a/lib/testsupport/src/platform/state.rs
+++ b/lib/testsupport/src/platform/state.rs
@@ -1,4 +1,4 @@
-//! What a platform stand-in remembers besides its rows.
+//! The state of a platform stand-in: its contents, faults, counters and the history of its list.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -21,7 +21,7 @@
 
 /// The state of a stand-in, shared by its handler and its handle.
 pub(crate) struct PlatformState {
-    /// The rows, objects and the list of now.
+    /// The rows, the objects and the current list of instances.
     pub(crate) memory: MemoryPlatform,
     started_at: Instant,
     inner: Mutex<Inner>,
@@ -32,8 +32,10 @@
     faults: PlatformFaults,
     counters: PlatformCounters,
     list: LaggingList,
+    /// The peer addresses listed in place of the instances' own, by instance.
     peer_addresses: IndexMap<String, SocketAddr>,
-    second: u64,
+    /// The full seconds since `started_at`.
+    current_second: u64,
     writes_in_second: u64,
 }
 
@@ -62,12 +64,12 @@
         count(&mut lock(&self.inner).counters);
     }
 
-    /// Counts one write against the write budget.
+    /// Counts one write, also in the peak of writes per second.
     pub(crate) fn count_write(&self) {
-        let second = self.started_at.elapsed().as_secs();
+        let current_second = self.started_at.elapsed().as_secs();
         let mut inner = lock(&self.inner);
-        if second != inner.second {
-            inner.second = second;
+        if current_second != inner.current_second {
+            inner.current_second = current_second;
             inner.writes_in_second = 0;
         }
         inner.writes_in_second += 1;
@@ -77,7 +79,7 @@
         counters.writes_peak_per_s = counters.writes_peak_per_s.max(writes_in_second);
     }
 
-    /// Returns the list of instances with the lag of the faults in force.
+    /// Returns the list of instances as of `lag_ms` ago.
     pub(crate) fn lagging_list(&self) -> InstanceList {
         let inner = lock(&self.inner);
         let mut list = inner.list.as_of(Duration::from_millis(inner.faults.lag_ms));
@@ -88,7 +90,7 @@
         list
     }
 
-    /// Lists an instance under another peer address than its own.
+    /// Lists an instance under another peer address than its own from now on.
     pub(crate) fn set_peer_address(&self, name: &str, address: SocketAddr) {
         let addresses = &mut lock(&self.inner).peer_addresses;
         addresses.insert(name.to_owned(), address);
@@ -104,7 +106,7 @@
         self.record_list().await
     }
 
-    /// Marks an instance as leaving; one not listed is passed over.
+    /// Marks an instance as leaving; an instance that is not listed is ignored.
     pub(crate) async fn set_leaving(&self, name: &str) -> Result<(), PlatformError> {
         let list = self.memory.list_instances().await?;
         let instances = list.instances.into_iter();
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -182,7 +182,7 @@
     /// The ids of the jobs of which at least one run has started.
     started_jobs: IndexSet<String>,
     /// The number of submissions of each job.
-    attempts: IndexMap<String, u32>,
+    submissions: IndexMap<String, u32>,
     /// The number of submissions of each job that were answered as not run.
     not_run_answers: IndexMap<String, u32>,
     violations: Vec<String>,
@@ -245,7 +245,7 @@
             answers: IndexMap::new(),
             pending_orders: IndexSet::new(),
             started_jobs: IndexSet::new(),
-            attempts: IndexMap::new(),
+            submissions: IndexMap::new(),
             not_run_answers: IndexMap::new(),
             violations: Vec::new(),
             orders: 0,
@@ -309,7 +309,7 @@
     ) {
         let job = Arc::new(job.clone());
         self.jobs.insert(id.to_owned(), (job.clone(), work));
-        *self.attempts.entry(id.to_owned()).or_default() += 1;
+        *self.submissions.entry(id.to_owned()).or_default() += 1;
         let request = RequestId(self.next_request);
         self.next_request += 1;
         self.requests
@@ -748,8 +748,8 @@
     ///
     /// A submission whose answer was lost does not count as answered.
     fn check_not_run_answers(&mut self, id: &str) {
-        let all_refused = self.not_run_answers.get(id) == self.attempts.get(id);
-        if all_refused && self.started_jobs.contains(id) {
+        let all_not_run = self.not_run_answers.get(id) == self.submissions.get(id);
+        if all_not_run && self.started_jobs.contains(id) {
             let violation =
                 format!("{id}: every submission was answered as not run, but a task has started");
             self.violations.push(violation);
--- a/lib/testsupport/src/site.rs
+++ b/lib/testsupport/src/site.rs
@@ -1,4 +1,4 @@
-//! A site of real entry processes between stand-ins.
+//! A site of real entry processes with stand-ins for the upstreams and the platform.
 
 use std::error::Error;
 use std::ffi::OsStr;
@@ -34,49 +34,50 @@
 use crate::upstream::UpstreamSettings;
 use crate::upstream::UpstreamStandIn;
 
-/// What a test returns.
+/// The result of a test or a step of one.
 pub type TestResult = Result<(), Box<dyn Error>>;
 
-/// The one service of a site's document.
+/// The only service of a site's document.
 pub const SERVICE: &str = "lookup";
-/// The one team of a site's document.
+/// The only team of a site's document.
 pub const TEAM: &str = "agents";
-/// The data centre in which a site's upstreams stand.
+/// The data centre of a site's upstreams.
 pub const NORTH: &str = "north";
 /// A data centre without upstreams.
 pub const SOUTH: &str = "south";
 
-const STATUS_POLL: Duration = Duration::from_millis(50);
-const STATUS_POLLS: u32 = 200;
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_STATUS_POLLS: u32 = 200;
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// One platform, some upstreams and some entry processes, all on this machine.
+/// A platform stand-in, upstream stand-ins and entry processes, all on this machine.
 pub struct Site {
-    /// The platform.
+    /// The platform stand-in.
     pub platform: PlatformStandIn,
-    /// The upstreams, in the order of the document.
+    /// The upstream stand-ins, in the order of the document.
     pub upstreams: Vec<UpstreamStandIn>,
-    /// The entries, in the order of their start.
+    /// The entry processes, in the order of their start.
     pub entries: Vec<Entry>,
-    /// A caller's client.
+    /// The client with which requests are sent.
     pub client: HttpClient,
-    /// Holds the entries' settings.
+    /// The directory with the entries' settings files, deleted on drop.
     pub directory: TempDir,
 }
 
-/// One entry process and where it is reached.
+/// An entry process and its addresses.
 pub struct Entry {
     /// The process.
     pub process: ProcessHandle,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it.
+    /// The address for operators.
     pub operators: SocketAddr,
 }
 
 impl Site {
-    /// Starts a platform, `upstreams` of 8 slots and one entry, and waits until it is ready.
+    /// Starts a platform, `upstreams` upstreams of 8 slots and one entry, and waits until the entry
+    /// is ready.
     pub async fn start(upstreams: usize) -> Result<Site, Box<dyn Error>> {
         let mut site = Site::without_entries(upstreams).await?;
         let document = site.document();
@@ -85,7 +86,7 @@
         Ok(site)
     }
 
-    /// Starts a platform and `upstreams` of 8 slots.
+    /// Starts a platform and `upstreams` upstreams of 8 slots, without a document and entries.
     pub async fn without_entries(upstreams: usize) -> Result<Site, Box<dyn Error>> {
         let mut started = Vec::new();
         for _ in 0..upstreams {
@@ -103,13 +104,13 @@
         })
     }
 
-    /// A document that uses each upstream under its own address.
+    /// Returns a document that lists the upstreams under their own addresses.
     pub fn document(&self) -> Document {
         let addresses = self.upstreams.iter().map(UpstreamStandIn::address);
         document(&addresses.collect::<Vec<SocketAddr>>())
     }
 
-    /// Puts a document in the platform's store as the head.
+    /// Stores a document in the platform and makes it the head revision.
     pub async fn install(&self, revision: u64, document: &Document) -> TestResult {
         let head = Head {
             revision,
@@ -131,7 +132,8 @@
         Ok(())
     }
 
-    /// Starts an entry with `changes` to its settings, and waits until it is ready.
+    /// Starts an entry whose settings are overridden by `changes`, waits until it is ready, and
+    /// returns its index.
     pub async fn start_entry(
         &mut self,
         name: &str,
@@ -169,7 +171,7 @@
         Ok(self.entries.len() - 1)
     }
 
-    /// Waits until every entry has heard from `siblings` others.
+    /// Waits until every entry reports `siblings` reachable siblings.
     pub async fn wait_for_siblings(&self, siblings: u64) -> TestResult {
         for entry in 0..self.entries.len() {
             self.wait_for_status(entry, "siblings_heard", siblings)
@@ -178,18 +180,21 @@
         Ok(())
     }
 
-    /// Waits until a field of an entry's status has a value.
+    /// Waits until a field of an entry's status has the value `wanted`.
     pub async fn wait_for_status(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
         let operators = self.entries[entry].operators;
-        for _ in 0..STATUS_POLLS {
+        for _ in 0..MAX_STATUS_POLLS {
             let request = HttpRequest::new(Method::GET, operators, "/status");
             let answer = self.send(request).await?;
             if json_of(&answer)?[field] == wanted {
                 return Ok(());
             }
-            Timer::after(STATUS_POLL).await;
+            Timer::after(STATUS_POLL_INTERVAL).await;
         }
-        Err(format!("{field} at {operators} is not {wanted}").into())
+        Err(
+            format!("timed out waiting until {field} in the status of {operators} is {wanted}")
+                .into(),
+        )
     }
 
     /// Opens a session at an entry and returns its token.
@@ -198,20 +203,23 @@
         let answer = self.send(request).await?;
         assert_eq!(answer.status, 201, "{:?}", answer.body);
         let session = json_of(&answer)?["session"].clone();
-        Ok(session.as_str().ok_or("session is no text")?.to_owned())
+        Ok(session
+            .as_str()
+            .ok_or("the session in the answer is not a string")?
+            .to_owned())
     }
 
-    /// A request of a caller to an entry.
+    /// Returns a caller's request to an entry.
     pub fn request(&self, entry: usize, method: Method, path: &str) -> HttpRequest {
         HttpRequest::new(method, self.entries[entry].callers, path)
     }
 
-    /// Sends a request and waits for its whole answer.
+    /// Sends a request and waits for the complete answer.
     pub async fn send(&self, request: HttpRequest) -> Result<HttpResponse, Box<dyn Error>> {
         Ok(self.client.send(request, REQUEST_TIMEOUT).await?)
     }
 
-    /// Sends a single task.
+    /// Submits a single task and waits for its answer.
     pub async fn send_task(
         &self,
         entry: usize,
@@ -221,7 +229,7 @@
         self.send(request.with_body(body.to_string())).await
     }
 
-    /// How many tasks started over all upstreams, and the most starts of one task.
+    /// Returns the starts recorded by all upstreams.
     pub fn starts(&self) -> Starts {
         let mut starts = Starts::default();
         for upstream in &self.upstreams {
@@ -234,16 +242,16 @@
     }
 }
 
-/// What the upstreams' records say.
+/// A summary of the starts that the upstreams recorded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Starts {
-    /// Tasks that started at all.
+    /// The number of distinct tasks that started at an upstream, summed over the upstreams.
     pub tasks: usize,
-    /// The most starts of one task.
+    /// The maximum number of starts of one task at one upstream.
     pub most_of_one: u64,
 }
 
-/// The body of a job whose tasks run for `run_ms`.
+/// Returns the body of a job whose tasks run for `run_ms` milliseconds.
 pub fn job(tasks: usize, run_ms: u64) -> Value {
     let inputs: Vec<Value> = (0..tasks)
         .map(|index| json!({ "run_ms": run_ms, "index": index }))
@@ -251,19 +259,19 @@
     json!({ "service": SERVICE, "team": TEAM, "timeout_ms": 20_000, "inputs": inputs })
 }
 
-/// A request with one more header.
+/// Returns the request with one more header.
 pub fn with_header(mut request: HttpRequest, name: &'static str, value: &str) -> HttpRequest {
-    let value = HeaderValue::try_from(value).expect("header value of a test is plain text");
+    let value = HeaderValue::try_from(value).expect("the header value is valid");
     request.headers.insert(HeaderName::from_static(name), value);
     request
 }
 
-/// The body of an answer, which must be JSON.
+/// Decodes the body of an answer as JSON.
 pub fn json_of(answer: &HttpResponse) -> Result<Value, Box<dyn Error>> {
     Ok(serde_json::from_slice(&answer.body)?)
 }
 
-/// A document of one service whose upstreams stand in the data centre `north`.
+/// Returns a document with one service whose upstreams are in the data centre `north`.
 pub fn document(addresses: &[SocketAddr]) -> Document {
     let upstreams = addresses
         .iter()
--- a/lib/testsupport/src/site_faults.rs
+++ b/lib/testsupport/src/site_faults.rs
@@ -1,4 +1,5 @@
-//! Marked jobs, callers that wait in the background, and the witness of starts.
+//! Helpers for tests with faults: jobs whose tasks carry markers, callers that wait in the
+//! background, and checks of the starts that the upstreams recorded.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -27,20 +28,20 @@
 use crate::site::json_of;
 use crate::site::with_header;
 
-/// How long a change that is promised "within seconds" may take.
+/// The maximum time for a change that is guaranteed "within seconds".
 pub const WITHIN_SECONDS: Duration = Duration::from_secs(5);
 
-const POLL: Duration = Duration::from_millis(20);
-const POLLS: u32 = 500;
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_POLLS: u32 = 500;
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 const CALLER_CONNECTIONS: usize = 256;
 
-/// A caller whose requests run in the background.
+/// A caller that sends its requests in the background.
 #[derive(Clone)]
 pub struct Caller(Arc<HttpClient>);
 
 impl Caller {
-    /// Returns a caller without connections.
+    /// Returns a caller with a connection pool of its own.
     pub fn new() -> Self {
         Caller(Arc::new(HttpClient::new(HttpSettings {
             connections: CALLER_CONNECTIONS,
@@ -48,7 +49,7 @@
         })))
     }
 
-    /// Sends a request, whose answer the task gives.
+    /// Sends a request and returns the task that yields its answer; dropping the task cancels it.
     pub fn send(&self, request: HttpRequest) -> Task<Result<HttpResponse, ExchangeError>> {
         let client = Arc::clone(&self.0);
         smol::spawn(async move { client.send(request, CALL_TIMEOUT).await })
@@ -61,7 +62,8 @@
     }
 }
 
-/// The body of a job whose tasks carry `marker/0`, `marker/1` and so on in their inputs.
+/// Returns the body of a job whose tasks run for `run_ms` milliseconds and carry the markers
+/// `marker/0`, `marker/1` and so on in their inputs.
 pub fn marked_job(marker: &str, tasks: usize, run_ms: u64) -> Value {
     let inputs: Vec<Value> = (0..tasks)
         .map(|index| json!({ "run_ms": run_ms, "marker": format!("{marker}/{index}") }))
@@ -69,36 +71,40 @@
     json!({ "service": SERVICE, "team": TEAM, "timeout_ms": 20_000, "inputs": inputs })
 }
 
-/// A submission in a session.
+/// Returns a request that submits a job in a session.
 pub fn put_job(address: SocketAddr, session: &str, number: u64, body: &Value) -> HttpRequest {
     let path = format!("/v1/sessions/{session}/jobs/{number}");
     HttpRequest::new(Method::PUT, address, path).with_body(body.to_string())
 }
 
-/// A submission under an idempotency key.
+/// Returns a request that submits a job under an idempotency key.
 pub fn post_keyed(address: SocketAddr, key: &str, body: &Value) -> HttpRequest {
     let request = HttpRequest::new(Method::POST, address, "/v1/jobs");
     with_header(request, "idempotency-key", key).with_body(body.to_string())
 }
 
-/// A submission of a single task.
+/// Returns a request that submits a single task.
 pub fn post_task(address: SocketAddr, body: &Value) -> HttpRequest {
     HttpRequest::new(Method::POST, address, "/v1/tasks").with_body(body.to_string())
 }
 
-/// Waits until `look` says yes, in a bounded number of looks.
-pub async fn wait_until(what: &str, mut look: impl FnMut() -> bool) -> TestResult {
-    for _ in 0..POLLS {
-        if look() {
+/// Polls `condition` until it is true.
+///
+/// # Errors
+///
+/// If it is still false after `MAX_POLLS` polls; `what` describes it.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) -> TestResult {
+    for _ in 0..MAX_POLLS {
+        if condition() {
             return Ok(());
         }
-        Timer::after(POLL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
-    Err(format!("in vain: {what}").into())
+    Err(format!("timed out waiting: {what}").into())
 }
 
 impl Site {
-    /// Starts one entry whose only upstream stands behind a proxy.
+    /// Starts a site with one entry whose only upstream is reached through a proxy.
     pub async fn start_behind_proxy() -> Result<(Site, FaultProxy), Box<dyn Error>> {
         let mut site = Site::without_entries(1).await?;
         let proxy = FaultProxy::start(site.upstreams[0].address()).await?;
@@ -107,23 +113,24 @@
         Ok((site, proxy))
     }
 
-    /// Waits until a field of an entry's status has a value, which must be within seconds.
+    /// Waits until a field of an entry's status has the value `wanted`, for at most
+    /// [`WITHIN_SECONDS`].
     pub async fn within_seconds(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
-        let late = async {
+        let timeout = async {
             Timer::after(WITHIN_SECONDS).await;
             Err(format!("{field} of entry {entry} is not {wanted} within seconds").into())
         };
-        or(self.wait_for_status(entry, field, wanted), late).await
+        or(self.wait_for_status(entry, field, wanted), timeout).await
     }
 
-    /// A field of an entry's status now.
+    /// Returns the current value of a field of an entry's status.
     pub async fn status_of(&self, entry: usize, field: &str) -> Result<Value, Box<dyn Error>> {
         let operators = self.entries[entry].operators;
         let request = HttpRequest::new(Method::GET, operators, "/status");
         Ok(json_of(&self.send(request).await?)?[field].clone())
     }
 
-    /// How often tasks of the marked job started, over all upstreams.
+    /// Returns the number of starts of tasks of the marked job on all upstreams.
     pub fn starts_of(&self, marker: &str) -> u64 {
         let prefix = format!("{marker}/");
         let reports = self.upstreams.iter().map(|upstream| upstream.report());
@@ -132,19 +139,20 @@
         marked.map(|task| task.starts).sum()
     }
 
-    /// Waits until tasks of the marked job started this often.
+    /// Waits until tasks of the marked job have started at least `starts` times.
     pub async fn wait_for_starts(&self, marker: &str, starts: u64) -> TestResult {
         let what = format!("{starts} starts of {marker}");
         wait_until(&what, || self.starts_of(marker) >= starts).await
     }
 
-    /// Checks that no task started twice, neither under one id nor by its marker under two.
+    /// Checks that no task started twice, neither under the same task id nor with the same marker
+    /// under two ids.
     pub fn check_at_most_once(&self) -> TestResult {
         let mut markers = Vec::new();
         for upstream in &self.upstreams {
             for task in upstream.report().tasks {
                 if task.starts > 1 || markers.contains(&task.marker) {
-                    return Err(format!("started twice: {task:?}").into());
+                    return Err(format!("a task started twice: {task:?}").into());
                 }
                 if !task.marker.is_empty() {
                     markers.push(task.marker);
--- a/lib/testsupport/src/upstream.rs
+++ b/lib/testsupport/src/upstream.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an upstream, which records every start of a task.
+//! A stand-in for an upstream that records every start of a task.
 
 mod faults;
 mod handler;
--- a/lib/testsupport/src/upstream/faults.rs
+++ b/lib/testsupport/src/upstream/faults.rs
@@ -1,26 +1,26 @@
-//! Faults that an upstream stand-in can be told to show.
+//! The faults that an upstream stand-in can inject.
 
 use almondhead_macros::message;
 
-/// The faults in force; the default is none. In JSON each field may be left out.
+/// The faults to inject; none by default. In JSON, each field may be omitted.
 #[message]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamFaults {
-    /// Starts each task and fails it at once, with status 500.
+    /// Starts each task and answers at once with status 500.
     pub fail_everything: bool,
     /// Runs each task and closes the connection without an answer.
     pub lose_answer: bool,
-    /// Runs each task and breaks the connection amid the answer's body.
+    /// Runs each task and closes the connection after half of the answer's body.
     pub cut_body: bool,
     /// Runs each task and answers with another task's id.
     pub wrong_task_id: bool,
-    /// Refuses each task, proving that it didn't run.
+    /// Refuses each task with an answer that states that it has not run.
     pub refuse_all: bool,
-    /// Holds each answer back by this long after the run, in milliseconds.
+    /// Delays each answer after the run, in milliseconds.
     pub delay_ms: u64,
-    /// Multiplies each task's run time.
+    /// Multiplies each task's run time; values up to 1 have no effect.
     pub slow_factor: f64,
-    /// Ends all faults after this many tasks, if given.
+    /// Ends all faults after this many tasks, if set.
     pub limit_tasks: Option<u64>,
 }
 
@@ -40,8 +40,8 @@
 }
 
 impl UpstreamFaults {
-    /// Returns the faults for one task, counting it against the limit.
-    pub(crate) fn take(&mut self) -> Self {
+    /// Returns the faults for one task and counts it against `limit_tasks`.
+    pub(crate) fn take_for_task(&mut self) -> Self {
         let faults = self.clone();
         match &mut self.limit_tasks {
             Some(0 | 1) => *self = Self::default(),
--- a/lib/testsupport/src/upstream/handler.rs
+++ b/lib/testsupport/src/upstream/handler.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface of the upstream stand-in, as docs/protocols/upstream.md writes it down.
+//! The HTTP interface of the upstream stand-in, as specified in docs/protocols/upstream.md.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 const TRACEPARENT: &str = "traceparent";
 const WRONG_TASK_ID: &str = "another-task";
 
-/// Serves the interface.
+/// Handles the stand-in's HTTP requests.
 pub(crate) struct UpstreamHandler {
     state: Arc<UpstreamState>,
 }
@@ -46,7 +46,7 @@
         let Some(task_id) = header(&conn, TASK_ID) else {
             return conn.with_status(Status::BadRequest).with_body("no Task-Id");
         };
-        // An unreadable body is a request cut short: no task starts for it.
+        // The request was cut off: no task is started for it.
         let Ok(input) = conn.request_body().read_bytes().await else {
             return conn.with_status(Status::BadRequest);
         };
@@ -113,7 +113,7 @@
             RunEnd::Finished
         };
         let stopped = async {
-            // The sender lives as long as the run, so this ends only with the word to stop.
+            // The sender lives as long as the run, so this ends only when the run is stopped.
             let _ = run.stopped.recv().await;
             RunEnd::Stopped
         };
--- a/lib/testsupport/src/upstream/messages.rs
+++ b/lib/testsupport/src/upstream/messages.rs
@@ -1,15 +1,15 @@
-//! JSON messages of the upstream stand-in.
+//! The JSON messages of the upstream stand-in.
 
 use almondhead_macros::message;
 use serde_json::Value;
 
-/// The part of a task's input that the stand-in obeys.
+/// The part of a task's input that the stand-in interprets.
 #[message]
 #[serde(default)]
 pub(crate) struct TaskInput {
     /// How long the task runs, in milliseconds.
     pub(crate) run_ms: u64,
-    /// What the record of starts tells the task by, whatever its id.
+    /// Identifies the task in the record of starts independently of its id; may be empty.
     pub(crate) marker: String,
 }
 
@@ -27,24 +27,24 @@
 pub(crate) struct TaskAnswer {
     /// The task's id.
     pub(crate) task_id: String,
-    /// The task's input, as JSON or else as a string.
+    /// The task's input, as JSON if it is valid JSON and as a string otherwise.
     pub(crate) echo: Value,
 }
 
-/// The body of a call that stops tasks.
+/// The body of a request that stops tasks.
 #[message]
 pub struct StopRequest {
-    /// The ids of the tasks; those not running are passed over.
+    /// The ids of the tasks; those that are not running are ignored.
     pub task_ids: Vec<String>,
 }
 
-/// What happened to one task.
+/// The record of one task.
 #[message]
 #[derive(Default)]
 pub struct TaskStarts {
     /// The task's id.
     pub task_id: String,
-    /// The marker in its input, or nothing.
+    /// The marker in its input; empty if there is none.
     pub marker: String,
     /// How often it started.
     pub starts: u64,
@@ -54,15 +54,15 @@
     pub stops: u64,
     /// When it last started, in milliseconds since the Unix epoch.
     pub last_started_at_ms: u64,
-    /// The trace context of its last request, if it had one.
+    /// The `traceparent` header of its last request, if it had one.
     pub traceparent: Option<String>,
 }
 
-/// What the stand-in did, and each fault that really happened.
+/// Counters of the stand-in's work and of the faults that took effect.
 #[message]
 #[derive(Default)]
 pub struct UpstreamCounters {
-    /// Requests to run a task.
+    /// Requests to run a task, also refused ones.
     pub requests: u64,
     /// Tasks started.
     pub starts: u64,
@@ -70,23 +70,23 @@
     pub repeated_starts: u64,
     /// Requests to stop tasks.
     pub stop_requests: u64,
-    /// Tasks refused as all slots were taken.
+    /// Tasks refused because all slots were taken.
     pub over_limit: u64,
-    /// Most tasks running at a time.
+    /// The maximum number of tasks running at a time.
     pub running_peak: u64,
-    /// Tasks refused by the fault.
+    /// Tasks refused by the fault `refuse_all`.
     pub refused: u64,
-    /// Tasks failed by the fault.
+    /// Tasks failed by the fault `fail_everything`.
     pub failed: u64,
-    /// Answers lost by the fault.
+    /// Answers lost by the fault `lose_answer`.
     pub lost_answers: u64,
-    /// Answers cut by the fault.
+    /// Answers cut off by the fault `cut_body`.
     pub cut_bodies: u64,
-    /// Answers with another's id by the fault.
+    /// Answers with another task's id by the fault `wrong_task_id`.
     pub wrong_task_ids: u64,
-    /// Answers held back by the fault.
+    /// Answers delayed by the fault `delay_ms`.
     pub delayed: u64,
-    /// Tasks whose run time the fault changed.
+    /// Tasks slowed down by the fault `slow_factor`.
     pub slowed: u64,
 }
 
@@ -94,8 +94,8 @@
 #[message]
 #[derive(Default)]
 pub struct StartsReport {
-    /// One entry a task, in the order of their first start.
+    /// The record of each task, in the order of their first starts.
     pub tasks: Vec<TaskStarts>,
-    /// What the stand-in did in all.
+    /// The stand-in's counters.
     pub counters: UpstreamCounters,
 }
--- a/lib/testsupport/src/upstream/stand_in.rs
+++ b/lib/testsupport/src/upstream/stand_in.rs
@@ -18,9 +18,9 @@
 /// Settings of an upstream stand-in.
 #[value]
 pub struct UpstreamSettings {
-    /// Where it listens; port 0 takes any free one.
+    /// The address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Most tasks that its guard lets run at a time.
+    /// The maximum number of tasks running at a time; its guard refuses more.
     pub slots: usize,
 }
 
@@ -53,7 +53,7 @@
         self.server.address()
     }
 
-    /// Puts these faults in force, in place of the ones before.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: UpstreamFaults) {
         self.state.set_faults(faults);
     }
@@ -63,12 +63,12 @@
         self.state.report()
     }
 
-    /// Returns what it did in all.
+    /// Returns its counters.
     pub fn counters(&self) -> UpstreamCounters {
         self.state.counters()
     }
 
-    /// Returns how often a task started.
+    /// Returns how often a task has started.
     pub fn starts(&self, task_id: &str) -> u64 {
         let report = self.report();
         report
@@ -78,7 +78,7 @@
             .map_or(0, |task| task.starts)
     }
 
-    /// Waits until the server has ended.
+    /// Waits until the server has stopped.
     pub async fn ended(&self) {
         self.server.ended().await;
     }
--- a/lib/testsupport/src/upstream/state.rs
+++ b/lib/testsupport/src/upstream/state.rs
@@ -1,4 +1,4 @@
-//! What an upstream stand-in remembers.
+//! The state of an upstream stand-in: its faults, running tasks and record of starts.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -35,7 +35,7 @@
     stop: Sender<()>,
 }
 
-/// The guard's word on a task.
+/// The decision whether a task starts.
 pub(crate) enum Admission {
     /// The task started.
     Started(TaskRun),
@@ -48,9 +48,9 @@
     state: Arc<UpstreamState>,
     run: u64,
     task_id: String,
-    /// The faults that apply to it.
+    /// The faults that apply to this run.
     pub(crate) faults: UpstreamFaults,
-    /// Hears when the task is to stop.
+    /// Receives a message when the task is to be stopped.
     pub(crate) stopped: Receiver<()>,
 }
 
@@ -66,7 +66,7 @@
         lock(&self.inner).faults = faults;
     }
 
-    /// Records the start of a task, if the guard and the faults let it start.
+    /// Starts a task and records the start, unless a fault or the limit of slots forbids it.
     pub(crate) fn admit(
         self: &Arc<Self>,
         task_id: &str,
@@ -75,7 +75,7 @@
     ) -> Admission {
         let mut inner = lock(&self.inner);
         inner.counters.requests += 1;
-        let faults = inner.faults.take();
+        let faults = inner.faults.take_for_task();
         if faults.refuse_all {
             inner.counters.refused += 1;
             return Admission::Refused;
@@ -104,7 +104,7 @@
         inner.counters.stop_requests += 1;
         for task in &inner.running {
             if task_ids.contains(&task.task_id) {
-                // A task that has its word to stop already needs no second one.
+                // If the channel is full, the task has already been told to stop.
                 let _ = task.stop.try_send(());
             }
         }
