--- a/lib/testsupport/src/bin/standin-platform.rs
+++ b/lib/testsupport/src/bin/standin-platform.rs
@@ -1,4 +1,4 @@
-//! A platform stand-in as a process of its own.
+//! Runs a platform stand-in as a process.
 
 use std::error::Error;
 
@@ -7,7 +7,7 @@
 use almondhead_testsupport::listen_address;
 use almondhead_testsupport::stand_in_command;
 
-const ABOUT: &str = "Serves a table, objects and a list of instances from memory";
+const ABOUT: &str = "Serves a table, an object store and a list of instances from memory";
 
 fn main() -> Result<(), Box<dyn Error>> {
     let arguments = stand_in_command("standin-platform", ABOUT).get_matches();
--- a/lib/testsupport/src/bin/standin-upstream.rs
+++ b/lib/testsupport/src/bin/standin-upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream stand-in as a process of its own.
+//! Runs an upstream stand-in as a process.
 
 use std::error::Error;
 
@@ -10,13 +10,13 @@
 use clap::Command;
 use clap::value_parser;
 
-const ABOUT: &str = "Runs tasks as an upstream would, and records every start";
+const ABOUT: &str = "Runs tasks like an upstream and records every start";
 
 fn command() -> Command {
     let slots = Arg::new("slots")
         .long("slots")
         .value_name("COUNT")
-        .help("Most tasks that run at a time")
+        .help("The maximum number of tasks running at a time")
         .default_value("8")
         .value_parser(value_parser!(usize));
     stand_in_command("standin-upstream", ABOUT).arg(slots)
@@ -26,7 +26,7 @@
     let arguments = command().get_matches();
     let settings = UpstreamSettings {
         listen: listen_address(&arguments),
-        slots: *arguments.get_one("slots").expect("has a default"),
+        slots: *arguments.get_one("slots").expect("--slots has a default"),
     };
     smol::block_on(async {
         let stand_in = UpstreamStandIn::start(settings).await?;
--- a/lib/testsupport/src/broken_body.rs
+++ b/lib/testsupport/src/broken_body.rs
@@ -1,4 +1,4 @@
-//! A response body that breaks its connection.
+//! A response body that fails, so that the server closes the connection.
 
 use std::io;
 use std::io::ErrorKind;
@@ -9,13 +9,15 @@
 use smol::io::AsyncRead;
 use trillium::Body;
 
-/// A body that gives some bytes, lets them be sent, and then fails.
+/// A body that yields some bytes, lets them be sent, and then fails.
 struct BrokenBody {
+    /// The bytes not yet read.
     remaining: Vec<u8>,
+    /// Whether the body has once been pending after `remaining`, so that the server could send it.
     flushed: bool,
 }
 
-/// Returns a body that states `stated_bytes` as its length but breaks after `part`.
+/// Returns a body with a stated length of `stated_bytes` that fails after `part`.
 ///
 /// With an empty part the connection closes before the head of the response is sent.
 pub(crate) fn broken_body(part: Vec<u8>, stated_bytes: u64) -> Body {
--- a/lib/testsupport/src/command.rs
+++ b/lib/testsupport/src/command.rs
@@ -1,4 +1,4 @@
-//! The command line that the stand-ins' programs share.
+//! The part of the command line that the stand-in programs share.
 
 use std::net::SocketAddr;
 
@@ -7,19 +7,19 @@
 use clap::Command;
 use clap::value_parser;
 
-/// Returns the command line of a stand-in, with where it listens.
+/// Returns the command line of a stand-in with the argument `--listen`.
 pub fn stand_in_command(name: &'static str, about: &'static str) -> Command {
     Command::new(name).about(about).arg(
         Arg::new("listen")
             .long("listen")
             .value_name("IP:PORT")
-            .help("Where to listen; port 0 takes any free one")
+            .help("The address to listen on; port 0 selects a free port")
             .default_value("127.0.0.1:0")
             .value_parser(value_parser!(SocketAddr)),
     )
 }
 
-/// Returns where a stand-in is to listen.
+/// Returns the address that a stand-in is to listen on.
 pub fn listen_address(arguments: &ArgMatches) -> SocketAddr {
-    *arguments.get_one("listen").expect("has a default")
+    *arguments.get_one("listen").expect("--listen has a default")
 }
--- a/lib/testsupport/src/fault_proxy/connection.rs
+++ b/lib/testsupport/src/fault_proxy/connection.rs
@@ -1,4 +1,4 @@
-//! One connection through a proxy.
+//! A connection through a proxy.
 
 use std::io;
 use std::io::ErrorKind;
@@ -14,10 +14,10 @@
 use super::faults::ProxyFaults;
 use super::state::ProxyState;
 
-/// The most that is passed on in one piece.
-const PIECE_BYTES: usize = 16 * 1024;
-/// How often data in a black hole looks whether the faults have changed.
-const HEAL_POLL: Duration = Duration::from_millis(5);
+/// The maximum size of a chunk of data.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// How often data in a black hole checks whether the fault has ended.
+const BLACK_HOLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Clone, Copy, PartialEq)]
 enum Direction {
@@ -41,53 +41,53 @@
     }
 }
 
-/// Passes data on in both directions until the connection ends or is cut.
+/// Forwards data in both directions until the connection ends or is cut.
 pub(crate) async fn serve(state: &ProxyState, client: TcpStream) {
     let Ok(server) = TcpStream::connect(state.target).await else {
         state.count(|counters| counters.unreachable += 1);
         return;
     };
-    // Without this each small piece may wait for an acknowledgement; nothing worse.
+    // An error is harmless: small chunks may then be delayed by Nagle's algorithm.
     let _ = client.set_nodelay(true);
     let _ = server.set_nodelay(true);
-    let requests = pass_on(state, client.clone(), server.clone(), Direction::Request);
-    let answers = pass_on(state, server, client, Direction::Answer);
-    // Either side's error ends both; it is the test's own doing.
+    let requests = forward(state, client.clone(), server.clone(), Direction::Request);
+    let answers = forward(state, server, client, Direction::Answer);
+    // An error in either direction ends both; it is caused by the test.
     let _ = try_zip(requests, answers).await;
 }
 
-async fn pass_on(
+async fn forward(
     state: &ProxyState,
     mut from: TcpStream,
     mut to: TcpStream,
     direction: Direction,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; PIECE_BYTES];
-    let mut passed_bytes = 0;
+    let mut buffer = vec![0; MAX_CHUNK_BYTES];
+    let mut forwarded_bytes = 0;
     loop {
         let read_bytes = from.read(&mut buffer).await?;
         if read_bytes == 0 {
             return to.shutdown(Shutdown::Write);
         }
-        suffer(state, direction).await;
+        wait_for_faults(state, direction).await;
         let limit_bytes = direction.cut_after_bytes(&state.faults());
-        let allowed_bytes = allowed(passed_bytes, read_bytes, limit_bytes);
-        passed_bytes += allowed_bytes as u64;
-        // Counted first: whoever receives the bytes finds them counted.
+        let allowed_bytes = bytes_to_forward(forwarded_bytes, read_bytes, limit_bytes);
+        forwarded_bytes += allowed_bytes as u64;
+        // Counted before sending, so that the receiver finds the bytes counted.
         state.count(|counters| match direction {
             Direction::Request => counters.request_bytes += allowed_bytes as u64,
             Direction::Answer => counters.answer_bytes += allowed_bytes as u64,
         });
         to.write_all(&buffer[..allowed_bytes]).await?;
-        if limit_bytes.is_some_and(|limit_bytes| passed_bytes >= limit_bytes) {
+        if limit_bytes.is_some_and(|limit_bytes| forwarded_bytes >= limit_bytes) {
             state.count(|counters| counters.cuts += 1);
             return Err(ErrorKind::ConnectionAborted.into());
         }
     }
 }
 
-/// Waits as long as the faults in force keep a piece of data back.
-async fn suffer(state: &ProxyState, direction: Direction) {
+/// Waits as long as the current faults hold a chunk of data back.
+async fn wait_for_faults(state: &ProxyState, direction: Direction) {
     let delay_ms = state.faults().delay_ms;
     if delay_ms > 0 {
         state.count(|counters| counters.delayed += 1);
@@ -96,21 +96,22 @@
     if direction == Direction::Answer
         && let Some(released) = state.hold_answer()
     {
-        // The release is the end of the channel.
+        // The answer is released by closing the channel.
         let _ = released.recv().await;
     }
     if direction.is_black_hole(&state.faults()) {
         state.count(|counters| counters.black_holed += 1);
         while direction.is_black_hole(&state.faults()) {
-            Timer::after(HEAL_POLL).await;
+            Timer::after(BLACK_HOLE_POLL_INTERVAL).await;
         }
     }
 }
 
-fn allowed(passed_bytes: u64, read_bytes: usize, limit_bytes: Option<u64>) -> usize {
+/// Returns how many of the bytes just read may be forwarded before the connection is cut.
+fn bytes_to_forward(forwarded_bytes: u64, read_bytes: usize, limit_bytes: Option<u64>) -> usize {
     let Some(limit_bytes) = limit_bytes else {
         return read_bytes;
     };
-    let left_bytes = limit_bytes.saturating_sub(passed_bytes);
+    let left_bytes = limit_bytes.saturating_sub(forwarded_bytes);
     usize::try_from(left_bytes).map_or(read_bytes, |left_bytes| left_bytes.min(read_bytes))
 }
--- a/lib/testsupport/src/fault_proxy/counters.rs
+++ b/lib/testsupport/src/fault_proxy/counters.rs
@@ -1,8 +1,8 @@
-//! What a proxy did.
+//! The counters of a proxy.
 
 use almondhead_macros::value;
 
-/// Counts of connections, bytes and faults that really happened.
+/// Counters of connections, bytes and faults that took effect.
 #[value]
 #[derive(Default)]
 pub struct ProxyCounters {
@@ -10,22 +10,22 @@
     pub connections: u64,
     /// Connections open now.
     pub open: u64,
-    /// Most connections open at a time.
+    /// The maximum number of connections open at a time.
     pub open_peak: u64,
-    /// Bytes passed on to the server.
+    /// Bytes forwarded to the server.
     pub request_bytes: u64,
-    /// Bytes passed on to clients.
+    /// Bytes forwarded to clients.
     pub answer_bytes: u64,
     /// Connections cut.
     pub cuts: u64,
-    /// Pieces of data held back by the delay.
+    /// Chunks of data delayed.
     pub delayed: u64,
-    /// Pieces of data caught in a black hole.
+    /// Chunks of data held in a black hole.
     pub black_holed: u64,
-    /// Answers held.
+    /// Answers held by the fault `hold_answers`.
     pub held: u64,
-    /// Answers released.
+    /// Held answers released.
     pub released: u64,
-    /// Connections closed as the server could not be reached.
+    /// Connections closed because the server could not be reached.
     pub unreachable: u64,
 }
--- a/lib/testsupport/src/fault_proxy/faults.rs
+++ b/lib/testsupport/src/fault_proxy/faults.rs
@@ -1,27 +1,27 @@
-//! Faults that a proxy can be told to inject.
+//! The faults that a proxy can inject.
 
 use almondhead_macros::value;
 
-/// The faults in force; the default is none. Each acts on open connections too.
+/// The faults to inject; none by default. They apply to open connections too.
 #[value]
 #[derive(Default)]
 pub struct ProxyFaults {
-    /// Holds each piece of data back by this long, in both directions, in milliseconds.
+    /// Delays each chunk of data in both directions, in milliseconds.
     pub delay_ms: u64,
-    /// Cuts a connection once it has passed on this many bytes to the server.
+    /// Cuts a connection once this many bytes have been forwarded to the server.
     pub cut_request_after_bytes: Option<u64>,
-    /// Cuts a connection once it has passed on this many bytes to the client.
+    /// Cuts a connection once this many bytes have been forwarded to the client.
     pub cut_answer_after_bytes: Option<u64>,
-    /// Passes nothing on to the server; what comes meanwhile is passed on after healing.
+    /// Forwards nothing to the server; data received meanwhile is forwarded once the fault ends.
     pub black_hole_requests: bool,
-    /// Passes nothing on to the client; what comes meanwhile is passed on after healing.
+    /// Forwards nothing to the client; data received meanwhile is forwarded once the fault ends.
     pub black_hole_answers: bool,
     /// Holds each answer until it is released.
     pub hold_answers: bool,
 }
 
 impl ProxyFaults {
-    /// Returns faults that pass nothing on in either direction.
+    /// Returns the faults that forward nothing in either direction.
     pub fn black_hole() -> Self {
         Self {
             black_hole_requests: true,
--- a/lib/testsupport/src/fault_proxy/proxy.rs
+++ b/lib/testsupport/src/fault_proxy/proxy.rs
@@ -16,8 +16,8 @@
 use super::state::ProxyState;
 use crate::locking::lock;
 
-/// The pause between two released answers, so that they arrive in order.
-const RELEASE_GAP: Duration = Duration::from_millis(5);
+/// The pause between two released answers, so that they arrive in the order of their release.
+const RELEASE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A TCP proxy on smol's global executor. Dropping it closes its listener and its connections.
 pub struct FaultProxy {
@@ -45,12 +45,12 @@
         self.address
     }
 
-    /// Returns what it did so far.
+    /// Returns its counters.
     pub fn counters(&self) -> ProxyCounters {
         self.state.counters()
     }
 
-    /// Puts these faults in force, in place of the ones before.
+    /// Replaces the faults to inject.
     pub fn set_faults(&self, faults: ProxyFaults) {
         self.state.set_faults(faults);
     }
@@ -60,7 +60,7 @@
         drop(self.state.take_connections());
     }
 
-    /// Refuses new connections, until it is healed. Open ones stay.
+    /// Refuses new connections until [`FaultProxy::heal`] is called. Open connections stay open.
     pub async fn refuse(&self) {
         let listening = lock(&self.listening).take();
         if let Some(listening) = listening {
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Ends all faults: passes on what a black hole caught, and takes new connections again.
+    /// Ends all faults: forwards data held in a black hole, releases held answers and accepts new
+    /// connections again.
     pub async fn heal(&self) -> io::Result<()> {
         self.state.set_faults(ProxyFaults::default());
         drop(self.state.take_held());
@@ -80,11 +81,11 @@
         Ok(())
     }
 
-    /// Releases the answers held, the newest first, and holds no more.
+    /// Releases the held answers, the newest first, and stops holding answers.
     pub async fn release_reversed(&self) {
         for answer in self.state.take_held().into_iter().rev() {
             drop(answer);
-            Timer::after(RELEASE_GAP).await;
+            Timer::after(RELEASE_INTERVAL).await;
         }
     }
 }
--- a/lib/testsupport/src/fault_proxy/state.rs
+++ b/lib/testsupport/src/fault_proxy/state.rs
@@ -1,4 +1,4 @@
-//! What a proxy and its connections share.
+//! The state that a proxy and its connections share.
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -13,9 +13,9 @@
 use super::held_answers::HeldAnswers;
 use crate::locking::lock;
 
-/// The state of a proxy.
+/// A proxy's target, faults, counters, held answers and open connections.
 pub(crate) struct ProxyState {
-    /// The server that connections go to.
+    /// The server that connections are forwarded to.
     pub(crate) target: SocketAddr,
     inner: Mutex<Inner>,
 }
@@ -52,7 +52,7 @@
         count(&mut lock(&self.inner).counters);
     }
 
-    /// Numbers a new connection and spawns what serves it.
+    /// Numbers a new connection and keeps the task that `serve` spawns for it.
     pub(crate) fn open(&self, serve: impl FnOnce(u64) -> Task<()>) {
         let mut inner = lock(&self.inner);
         let counters = &mut inner.counters;
@@ -64,7 +64,7 @@
         inner.connections.insert(number, task);
     }
 
-    /// Forgets a connection that has ended by itself.
+    /// Removes a connection that has ended by itself.
     pub(crate) fn close(&self, number: u64) {
         let mut inner = lock(&self.inner);
         if let Some(task) = inner.connections.swap_remove(&number) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Takes all open connections. Dropping an item cuts its connection.
+    /// Removes and returns all open connections. Dropping an item cuts its connection.
     pub(crate) fn take_connections(&self) -> Vec<Task<()>> {
         let mut inner = lock(&self.inner);
         let connections = std::mem::take(&mut inner.connections);
@@ -82,7 +82,7 @@
         connections.into_values().collect()
     }
 
-    /// Holds an answer if the faults in force say so.
+    /// Holds an answer under the fault `hold_answers`; the returned channel is closed on release.
     pub(crate) fn hold_answer(&self) -> Option<Receiver<()>> {
         let mut inner = lock(&self.inner);
         if !inner.faults.hold_answers {
@@ -92,7 +92,7 @@
         Some(inner.held.hold())
     }
 
-    /// Stops holding answers, and returns the held ones in the order in which they came.
+    /// Stops holding answers, and returns the held ones in order of arrival.
     pub(crate) fn take_held(&self) -> Vec<Sender<()>> {
         let mut inner = lock(&self.inner);
         inner.faults.hold_answers = false;
--- a/lib/testsupport/src/lib.rs
+++ b/lib/testsupport/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for upstream and platform, a fault-injecting proxy and process helpers, for tests.
+//! Support for tests: stand-ins for upstreams and the platform, a fault-injecting proxy, process
+//! helpers, and simulated and real sites.
 
 mod broken_body;
 mod command;
--- a/lib/testsupport/src/process.rs
+++ b/lib/testsupport/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that a test starts, and always ends.
+//! Child processes of a test, which are killed when their handle is dropped.
 
 mod error;
 mod handle;
--- a/lib/testsupport/src/process/error.rs
+++ b/lib/testsupport/src/process/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the process helper.
+//! The errors of the process helpers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,29 +7,29 @@
 use derive_more::Display;
 use derive_more::Error;
 
-/// A process that didn't do what a test needs.
+/// Why a step with a child process failed.
 #[derive(Debug, Display, Error)]
 pub enum ProcessError {
-    /// The program didn't start; the workspace's programs must have been built before.
+    /// The program could not be started; the workspace's programs must have been built before.
     #[display("start {}: {source}", program.display())]
     Start {
         /// The program's path.
         program: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
-    /// The process ended by itself.
+    /// The process has ended.
     #[display("{step}: process {id} has ended; it wrote:\n{output}")]
     Ended {
         /// What was attempted.
         step: &'static str,
         /// The process id.
         id: u32,
-        /// All that it wrote.
+        /// All output of the process.
         output: String,
     },
-    /// What the test waits for didn't happen in time.
-    #[display("{step}: not within {timeout_ms} ms; process {id} wrote:\n{output}")]
+    /// The awaited condition was not met in time.
+    #[display("{step}: timed out after {timeout_ms} ms; process {id} wrote:\n{output}")]
     Timeout {
         /// What was attempted.
         step: &'static str,
@@ -37,15 +37,15 @@
         id: u32,
         /// The time limit in milliseconds.
         timeout_ms: u128,
-        /// All that it wrote.
+        /// All output of the process.
         output: String,
     },
-    /// The process wrote an address that isn't one.
+    /// The process did not write a valid address.
     #[display("read the address of process {id}: {line}")]
     Address {
         /// The process id.
         id: u32,
-        /// The line.
+        /// The line without a valid address.
         line: String,
     },
     /// A signal could not be sent.
@@ -55,7 +55,7 @@
         signal: &'static str,
         /// The process id.
         id: u32,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// No free port could be found.
@@ -63,7 +63,7 @@
     FreePort {
         /// The address with port 0.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
 }
--- a/lib/testsupport/src/process/handle.rs
+++ b/lib/testsupport/src/process/handle.rs
@@ -1,4 +1,4 @@
-//! A process of the test's own.
+//! The handle of a child process.
 
 use std::ffi::OsStr;
 use std::future::Future;
@@ -23,16 +23,16 @@
 use super::output::Output;
 use super::thread_state::is_stopped;
 
-/// How often a wait looks again.
+/// How often a wait checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// How long one look over HTTP may take.
+/// The time limit of one request that checks a condition.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a process may take to stand still.
+/// The time limit for all threads of a process to be stopped.
 const FREEZE_TIMEOUT: Duration = Duration::from_secs(5);
-/// What the stand-ins and the entry print before their address.
-const LISTENING: &str = "listening ";
+/// The text that the stand-ins and the entry print before their address.
+const ADDRESS_PREFIX: &str = "listening ";
 
-/// A running process. Dropping it kills the process, frozen or not.
+/// A child process. Dropping the handle kills the process, frozen or not.
 pub struct ProcessHandle {
     child: Child,
     output: Output,
@@ -69,12 +69,12 @@
         self.child.id()
     }
 
-    /// Returns the lines that the process wrote so far.
+    /// Returns the lines that the process has written so far.
     pub fn output(&self) -> Vec<String> {
         self.output.lines()
     }
 
-    /// Says whether the process has not ended.
+    /// Returns whether the process has not ended.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
@@ -95,9 +95,9 @@
         &mut self,
         timeout: Duration,
     ) -> Result<SocketAddr, ProcessError> {
-        let line = self.wait_for_line(LISTENING, timeout).await?;
+        let line = self.wait_for_line(ADDRESS_PREFIX, timeout).await?;
         let address = line
-            .split_once(LISTENING)
+            .split_once(ADDRESS_PREFIX)
             .and_then(|(_, rest)| rest.split_whitespace().next()?.parse().ok());
         let id = self.id();
         address.ok_or(ProcessError::Address { id, line })
@@ -119,7 +119,7 @@
         self.wait_for("wait for status 200", timeout, probe).await
     }
 
-    /// Waits until the process has ended by itself or by a signal.
+    /// Waits until the process has ended, by itself or by a signal.
     pub async fn wait_for_exit(&mut self, timeout: Duration) -> Result<ExitStatus, ProcessError> {
         let started_at = Instant::now();
         loop {
@@ -127,13 +127,13 @@
                 return Ok(status);
             }
             if started_at.elapsed() >= timeout {
-                return Err(self.timeout("wait for the end", timeout));
+                return Err(self.timeout("wait for the process to end", timeout));
             }
             Timer::after(POLL_INTERVAL).await;
         }
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill9(&mut self) -> Result<(), ProcessError> {
         let id = self.id();
         let killed = self.child.kill().and_then(|()| self.child.wait());
@@ -144,25 +144,25 @@
         })
     }
 
-    /// Asks the process to end.
+    /// Asks the process to end with SIGTERM.
     pub fn terminate(&mut self) -> Result<(), ProcessError> {
         self.signal("TERM")
     }
 
-    /// Stops the process until it is thawed; returns once all its threads stand still.
+    /// Stops the process with SIGSTOP until it is thawed; returns once all its threads are stopped.
     pub fn freeze(&mut self) -> Result<(), ProcessError> {
         self.signal("STOP")?;
         let frozen_at = Instant::now();
         while !is_stopped(self.id()) {
             if frozen_at.elapsed() >= FREEZE_TIMEOUT {
-                return Err(self.timeout("freeze", FREEZE_TIMEOUT));
+                return Err(self.timeout("stop all threads", FREEZE_TIMEOUT));
             }
             thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// Lets a frozen process go on.
+    /// Lets a frozen process continue, with SIGCONT.
     pub fn thaw(&mut self) -> Result<(), ProcessError> {
         self.signal("CONT")
     }
@@ -183,16 +183,17 @@
             .map_err(|source| ProcessError::Signal { signal, id, source })
     }
 
+    /// Polls `check` until it returns a value, the process has ended or the time is up.
     async fn wait_for<T, F: Future<Output = Option<T>>>(
         &mut self,
         step: &'static str,
         timeout: Duration,
-        mut look: impl FnMut() -> F,
+        mut check: impl FnMut() -> F,
     ) -> Result<T, ProcessError> {
         let started_at = Instant::now();
         loop {
             let ended = !self.is_running() && self.output.is_complete();
-            if let Some(found) = look().await {
+            if let Some(found) = check().await {
                 return Ok(found);
             }
             if ended {
@@ -225,7 +226,7 @@
 
 impl Drop for ProcessHandle {
     fn drop(&mut self) {
-        // The process may have ended by itself, which is as good.
+        // If the process has already ended, there is nothing to do.
         let _ = self.kill9();
     }
 }
--- a/lib/testsupport/src/process/output.rs
+++ b/lib/testsupport/src/process/output.rs
@@ -1,4 +1,4 @@
-//! What a process wrote.
+//! The collected output of a process.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -9,7 +9,7 @@
 
 use crate::locking::lock;
 
-/// The lines that a process wrote to its standard output and standard error, as they came.
+/// The lines that a process wrote to its standard output and standard error, in order of arrival.
 #[derive(Clone, Default)]
 pub(crate) struct Output(Arc<Mutex<Lines>>);
 
@@ -20,7 +20,7 @@
 }
 
 impl Output {
-    /// Collects the lines of `stream` until it ends.
+    /// Collects the lines of `stream` in a thread of its own, until the stream ends.
     pub(crate) fn collect(&self, stream: impl Read + Send + 'static) {
         let output = self.clone();
         lock(&self.0).open_streams += 1;
@@ -32,7 +32,7 @@
         });
     }
 
-    /// Says whether all that was written has been collected.
+    /// Returns whether all streams have ended, so that no more lines are to come.
     pub(crate) fn is_complete(&self) -> bool {
         lock(&self.0).open_streams == 0
     }
--- a/lib/testsupport/src/process/thread_state.rs
+++ b/lib/testsupport/src/process/thread_state.rs
@@ -1,12 +1,12 @@
-//! The state of a process's threads, as Linux shows it.
+//! The state of a process's threads, read from Linux's `/proc`.
 
 use std::fs;
 use std::path::Path;
 
-/// The state of a stopped thread in `/proc/ID/task/ID/stat`.
+/// The state field of a stopped thread in `/proc/ID/task/ID/stat`.
 const STOPPED: &str = "T ";
 
-/// Says whether all threads of a process are stopped by a signal.
+/// Returns whether all threads of a process are stopped by a signal.
 pub(crate) fn is_stopped(id: u32) -> bool {
     let Ok(mut threads) = fs::read_dir(format!("/proc/{id}/task")) else {
         return false;
@@ -18,7 +18,7 @@
     let Ok(stat) = fs::read_to_string(thread.join("stat")) else {
         return false;
     };
-    // The state follows the program's name, which may itself hold a bracket.
+    // The state follows the program's name in brackets, which may itself contain brackets.
     let state = stat.rsplit_once(") ").map(|(_, state)| state);
     state.is_some_and(|state| state.starts_with(STOPPED))
 }
--- a/lib/testsupport/src/raw_server.rs
+++ b/lib/testsupport/src/raw_server.rs
@@ -1,4 +1,4 @@
-//! A server that answers with given bytes, whether or not they are HTTP.
+//! A server that answers each request with the same bytes, which need not be valid HTTP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 
 /// The end of an HTTP/1.1 request's head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The most that is read of a request at a time.
-const PIECE_BYTES: usize = 4 * 1024;
+/// The maximum number of bytes read at a time.
+const READ_BUFFER_BYTES: usize = 4 * 1024;
 
-/// A server that reads the head of each request on a connection and writes the same bytes to each.
+/// A server that reads the head of each request and answers with the same bytes.
 pub struct RawServer {
     address: SocketAddr,
     heads: Arc<Mutex<Vec<String>>>,
@@ -26,7 +26,8 @@
 }
 
 impl RawServer {
-    /// Starts a server on a free loopback port; it closes a connection after an answer if told to.
+    /// Starts a server on a free loopback port; with `close` it closes a connection after an
+    /// answer.
     pub async fn start(answer: impl Into<Vec<u8>>, close: bool) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
@@ -44,7 +45,7 @@
         self.address
     }
 
-    /// Returns the heads of the requests that it read.
+    /// Returns the heads of the requests that it has read.
     pub fn heads(&self) -> Vec<String> {
         lock(&self.heads).clone()
     }
@@ -60,7 +61,7 @@
         let answer = answer.clone();
         let heads = Arc::clone(&heads);
         smol::spawn(async move {
-            // A client that goes away ends its connection.
+            // An error means that the client has closed the connection.
             let _ = serve(stream, &answer, close, &heads).await;
         })
         .detach();
@@ -74,13 +75,13 @@
     heads: &Mutex<Vec<String>>,
 ) -> io::Result<()> {
     let mut received = Vec::new();
-    let mut piece = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
-        let read_bytes = stream.read(&mut piece).await?;
+        let read_bytes = stream.read(&mut buffer).await?;
         if read_bytes == 0 {
             return Ok(());
         }
-        received.extend_from_slice(&piece[..read_bytes]);
+        received.extend_from_slice(&buffer[..read_bytes]);
         let Some(at) = received
             .windows(HEAD_END.len())
             .position(|end| end == HEAD_END)
--- a/lib/testsupport/src/server.rs
+++ b/lib/testsupport/src/server.rs
@@ -14,11 +14,11 @@
 }
 
 impl Server {
-    /// Binds `listen`, where port 0 takes any free one, and serves on smol's global executor.
+    /// Binds `listen`, where port 0 selects a free port, and serves on smol's global executor.
     ///
     /// # Errors
     ///
-    /// Why the address cannot be listened on.
+    /// If the address cannot be bound.
     pub async fn start(listen: SocketAddr, handler: impl Handler) -> io::Result<Self> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -30,12 +30,12 @@
         Ok(Self { address, handle })
     }
 
-    /// The address that it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Waits until the server has ended.
+    /// Waits until the server has stopped.
     pub(crate) async fn ended(&self) {
         self.handle.clone().await;
     }
--- a/lib/testsupport/tests/process_control.rs
+++ b/lib/testsupport/tests/process_control.rs
@@ -1,4 +1,4 @@
-//! Processes of the stand-ins are started, frozen, thawed and ended.
+//! Starting, freezing, thawing and ending child processes.
 
 use std::time::Duration;
 
@@ -14,13 +14,14 @@
 const TIMEOUT: Duration = Duration::from_secs(5);
 const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
+/// Starts an upstream stand-in as a process.
 fn start() -> ProcessHandle {
     let program = workspace_binary("standin-upstream");
     ProcessHandle::start(&program, ["--slots", "2"]).unwrap()
 }
 
 #[test]
-fn process_is_frozen_and_thawed() {
+fn frozen_process_answers_only_after_thawing() {
     smol::block_on(async {
         let mut process = start();
         let address = process.wait_for_address(TIMEOUT).await.unwrap();
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn process_ends_by_signal() {
+fn signals_end_the_process() {
     smol::block_on(async {
         let mut process = start();
         process.wait_for_address(TIMEOUT).await.unwrap();
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn missing_program_and_early_end_are_named() {
+fn errors_name_the_program_and_show_the_output() {
     smol::block_on(async {
         let missing = workspace_binary("no-such-program");
         let error = ProcessHandle::start(&missing, [""; 0]).err().unwrap();
--- a/lib/testsupport/tests/proxy_faults.rs
+++ b/lib/testsupport/tests/proxy_faults.rs
@@ -1,4 +1,4 @@
-//! The proxy's faults happen, are counted, and heal.
+//! The proxy's faults take effect, are counted, and end on healing.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn refused_connections_heal() {
+fn connections_are_accepted_again_after_healing() {
     smol::block_on(async {
         let server = RawServer::start(ANSWER, false).await.unwrap();
         let proxy = FaultProxy::start(server.address()).await.unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn black_hole_passes_its_catch_on_after_healing() {
+fn black_hole_forwards_held_data_after_healing() {
     smol::block_on(async {
         let server = RawServer::start(ANSWER, false).await.unwrap();
         let proxy = FaultProxy::start(server.address()).await.unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn delay_holds_both_directions_back() {
+fn delay_applies_to_both_directions() {
     smol::block_on(async {
         let server = RawServer::start(ANSWER, false).await.unwrap();
         let proxy = FaultProxy::start(server.address()).await.unwrap();
--- a/lib/testsupport/tests/upstream_faults.rs
+++ b/lib/testsupport/tests/upstream_faults.rs
@@ -1,4 +1,4 @@
-//! The upstream stand-in's answers, and its record of starts.
+//! The upstream stand-in's faults, answers and record of starts.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -34,9 +34,10 @@
 struct Case {
     name: &'static str,
     faults: UpstreamFaults,
-    /// The status of the answer, or none where it breaks.
+    /// The status of the answer; none if the connection is closed before its end.
     status: Option<u16>,
     starts: u64,
+    /// The counter that must be 1.
     counter: fn(&UpstreamCounters) -> u64,
 }
 
@@ -130,7 +131,7 @@
 }
 
 #[test]
-fn each_fault_happens_and_is_counted() {
+fn each_fault_takes_effect_and_is_counted() {
     smol::block_on(async {
         for case in answered_cases().into_iter().chain(broken_cases()) {
             let upstream = UpstreamStandIn::start(UpstreamSettings::default())
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn guard_refuses_above_its_slots() {
+fn tasks_beyond_the_slots_are_refused() {
     smol::block_on(async {
         let settings = UpstreamSettings {
             slots: 1,
