--- a/lib/benches/admission_trial.rs
+++ b/lib/benches/admission_trial.rs
@@ -1,8 +1,9 @@
-//! An admission trial: a burst of three times the capacity at one entry instance's own slots.
+//! Simulates admission at one entry instance with its own slots, under a burst of three times their
+//! capacity.
 //!
-//! Refused callers follow the refusal and come back, asking for the same time. Everything but the
-//! order and the admission is the same for each row: arrivals, sizes and run times are drawn from
-//! one seed. Goodput is the run time of tasks whose job finished in time, over the capacity.
+//! Refused callers try again after the stated time, with the same time limit. The rows differ only
+//! in queue order and admission: arrivals, sizes and run times are drawn from one seed. Goodput is
+//! the run time of the tasks whose job finished in time, as a share of the capacity.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -32,34 +33,40 @@
 const SLOTS: u32 = 56;
 const BASE_LOAD: f64 = 0.8;
 const BURST_LOAD: f64 = 3.0;
+/// The start of the burst.
 const BURST_FROM_US: u64 = 30_000_000;
 const BURST_UNTIL_US: u64 = 130_000_000;
 const END_US: u64 = 180_000_000;
+/// The approximate mean work of a job: its mean number of tasks times their mean run time.
 const MEAN_JOB_US: f64 = 13.9 * 380_000.0;
+/// The number of refused tries after which a caller gives up.
 const MAX_TRIES: u32 = 20;
 
-/// Which work a job is held to wait for.
+/// The queued work that admission assumes to run before a new job.
 #[derive(Clone, Copy, Debug)]
-enum Ahead {
-    /// All that is queued.
+enum WorkAhead {
+    /// All queued work.
     All,
-    /// That of queued jobs that go before it.
+    /// The work of the queued jobs that are ordered before it.
     Before,
-    /// That, and what passes it later.
+    /// That work, and the work of later jobs that overtake it.
     Backlog,
 }
 
+/// The variant of queue and admission of one row.
 #[derive(Clone, Copy, Debug)]
 struct Row {
     queue: QueuePolicy,
     admission: AdmissionPolicy,
-    ahead: Ahead,
+    ahead: WorkAhead,
     max_queued_tasks: u32,
 }
 
+/// A caller's request for a job.
 #[derive(Debug)]
 struct Request {
     arrives_us: u64,
+    /// The run time of each task.
     runs_us: Vec<u64>,
     tries: u32,
 }
@@ -74,37 +81,44 @@
     }
 }
 
+/// An admitted job that has not ended.
 #[derive(Debug)]
 struct OpenJob {
+    /// The index of its request.
     request: usize,
     deadline: Timestamp,
+    /// The number of tasks started.
     started: usize,
+    /// The number of tasks ended.
     ended: usize,
 }
 
-/// What became of the jobs that arrived in the burst.
+/// Counts of the jobs that arrived in the burst, and the run time spent during it.
 #[derive(Debug, Default)]
-struct Tally {
+struct Outcome {
     jobs: u32,
     first_try: u32,
     later_try: u32,
     given_up: u32,
     refusals: u32,
     second_refusals: u32,
-    singles: u32,
-    singles_first_try: u32,
-    done: u32,
+    single_task_jobs: u32,
+    single_task_first_try: u32,
+    finished: u32,
     late: u32,
     good_us: u64,
     wasted_us: u64,
 }
 
+/// The state of the simulation of one row.
 struct Trial {
     now: Timestamp,
     deadline: Duration,
     row: Row,
     requests: Vec<Request>,
+    /// The arrivals to come: time in microseconds and index of the request.
     arrivals: BinaryHeap<Reverse<(u64, usize)>>,
+    /// The running tasks: end and run time in microseconds, and the job.
     running: BinaryHeap<Reverse<(u64, u64, JobKey)>>,
     jobs: SlotMap<JobKey, OpenJob>,
     team: TeamKey,
@@ -112,7 +126,7 @@
     admission: Box<dyn Admission>,
     estimate: RunEstimate,
     rng: StdRng,
-    tally: Tally,
+    outcome: Outcome,
 }
 
 fn requests() -> Vec<Request> {
@@ -153,11 +167,11 @@
             admission: admission_for(row.admission),
             estimate: RunEstimate::default(),
             rng: StdRng::seed_from_u64(SEED + 1),
-            tally: Tally::default(),
+            outcome: Outcome::default(),
         }
     }
 
-    fn run(mut self) -> Tally {
+    fn run(mut self) -> Outcome {
         loop {
             let arrival_us = self.arrivals.peek().map_or(u64::MAX, |next| next.0.0);
             let end_us = self.running.peek().map_or(u64::MAX, |next| next.0.0);
@@ -165,9 +179,9 @@
             self.expire();
             if arrival_us <= end_us {
                 let Some(Reverse((_, index))) = self.arrivals.pop() else {
-                    return self.tally;
+                    return self.outcome;
                 };
-                self.arrive(index);
+                self.handle_arrival(index);
             } else if let Some(Reverse((_, run_us, job))) = self.running.pop() {
                 self.end(job, run_us);
             }
@@ -179,15 +193,15 @@
         let backlog = self.queue.backlog(self.now, tasks);
         let all = self.queue.backlog(self.now, u32::MAX).tasks_ahead;
         let backlog = match self.row.ahead {
-            Ahead::All => QueueBacklog {
+            WorkAhead::All => QueueBacklog {
                 tasks_ahead: all,
                 overtaking_slots: 0,
             },
-            Ahead::Before => QueueBacklog {
+            WorkAhead::Before => QueueBacklog {
                 overtaking_slots: 0,
                 ..backlog
             },
-            Ahead::Backlog => backlog,
+            WorkAhead::Backlog => backlog,
         };
         let run_estimate = self.estimate.reading(None);
         AdmissionLoad {
@@ -204,7 +218,7 @@
         }
     }
 
-    fn arrive(&mut self, index: usize) {
+    fn handle_arrival(&mut self, index: usize) {
         let tasks = self.requests[index].tasks();
         let load = self.load(tasks);
         let answer = self.admission.admit(&load);
@@ -214,19 +228,19 @@
         let counted = u32::from(request.is_in_burst());
         let first = u32::from(is_first) * counted;
         let single = u32::from(tasks == 1) * first;
-        self.tally.jobs += first;
-        self.tally.singles += single;
+        self.outcome.jobs += first;
+        self.outcome.single_task_jobs += single;
         let Err(refusal) = answer else {
-            self.tally.first_try += first;
-            self.tally.later_try += counted - first;
-            self.tally.singles_first_try += single;
+            self.outcome.first_try += first;
+            self.outcome.later_try += counted - first;
+            self.outcome.single_task_first_try += single;
             self.admit(index);
             return;
         };
-        self.tally.refusals += counted;
-        self.tally.second_refusals += counted * u32::from(request.tries == 2);
+        self.outcome.refusals += counted;
+        self.outcome.second_refusals += counted * u32::from(request.tries == 2);
         if request.tries == MAX_TRIES {
-            self.tally.given_up += counted;
+            self.outcome.given_up += counted;
             return;
         }
         let back = self.now + refusal.retry_after;
@@ -264,14 +278,14 @@
         if remaining > 0 {
             return;
         }
-        self.tally.done += u32::from(request.is_in_burst());
+        self.outcome.finished += u32::from(request.is_in_burst());
         if self.is_burst() {
-            self.tally.good_us += request.runs_us.iter().sum::<u64>();
+            self.outcome.good_us += request.runs_us.iter().sum::<u64>();
         }
         self.jobs.remove(key);
     }
 
-    /// Fails the jobs whose deadline has passed.
+    /// Ends the jobs whose deadline has passed; the run time of their tasks counts as wasted.
     fn expire(&mut self) {
         let expired: Vec<JobKey> = self
             .jobs
@@ -284,7 +298,7 @@
             let job = self.jobs.remove(key).expect("the job is open");
             let request = &self.requests[job.request];
             let ended_us = request.runs_us[..job.ended].iter().sum();
-            self.tally.late += u32::from(request.is_in_burst());
+            self.outcome.late += u32::from(request.is_in_burst());
             self.count_waste(ended_us);
         }
     }
@@ -310,7 +324,7 @@
 
     fn count_waste(&mut self, run_us: u64) {
         if self.is_burst() {
-            self.tally.wasted_us += run_us;
+            self.outcome.wasted_us += run_us;
         }
     }
 
@@ -320,25 +334,25 @@
 }
 
 fn print_row(row: Row, deadline: Duration) {
-    let tally = Trial::new(row, deadline).run();
+    let outcome = Trial::new(row, deadline).run();
     let capacity_us = (BURST_UNTIL_US - BURST_FROM_US) as f64 * f64::from(SLOTS);
-    let first_refusals = tally.jobs - tally.first_try;
+    let first_refusals = outcome.jobs - outcome.first_try;
     println!(
         "| {:?}, {:?}, {:?}, {} | {} | {:.2} | {:.2} | {:.2} | {:.2} | {} | {} | {} | {:.3} | {:.3} |",
         row.queue,
         row.admission,
         row.ahead,
         row.max_queued_tasks,
-        tally.jobs,
-        f64::from(tally.first_try) / f64::from(tally.jobs),
-        f64::from(tally.singles_first_try) / f64::from(tally.singles),
-        1.0 - f64::from(tally.second_refusals) / f64::from(first_refusals.max(1)),
-        f64::from(tally.refusals) / f64::from(tally.jobs),
-        tally.given_up,
-        tally.done,
-        tally.late,
-        tally.good_us as f64 / capacity_us,
-        tally.wasted_us as f64 / capacity_us,
+        outcome.jobs,
+        f64::from(outcome.first_try) / f64::from(outcome.jobs),
+        f64::from(outcome.single_task_first_try) / f64::from(outcome.single_task_jobs),
+        1.0 - f64::from(outcome.second_refusals) / f64::from(first_refusals.max(1)),
+        f64::from(outcome.refusals) / f64::from(outcome.jobs),
+        outcome.given_up,
+        outcome.finished,
+        outcome.late,
+        outcome.good_us as f64 / capacity_us,
+        outcome.wasted_us as f64 / capacity_us,
     );
 }
 
@@ -353,14 +367,14 @@
     let finish = AdmissionPolicy::EstimatedFinish;
     let length = AdmissionPolicy::QueueLength;
     vec![
-        row(QueuePolicy::Fifo, length, Ahead::All, 20_000),
-        row(QueuePolicy::Fifo, length, Ahead::All, 500),
-        row(QueuePolicy::Fifo, finish, Ahead::All, 20_000),
-        row(fair, length, Ahead::All, 20_000),
-        row(fair, length, Ahead::All, 500),
-        row(fair, finish, Ahead::All, 20_000),
-        row(fair, finish, Ahead::Before, 20_000),
-        row(fair, finish, Ahead::Backlog, 20_000),
+        row(QueuePolicy::Fifo, length, WorkAhead::All, 20_000),
+        row(QueuePolicy::Fifo, length, WorkAhead::All, 500),
+        row(QueuePolicy::Fifo, finish, WorkAhead::All, 20_000),
+        row(fair, length, WorkAhead::All, 20_000),
+        row(fair, length, WorkAhead::All, 500),
+        row(fair, finish, WorkAhead::All, 20_000),
+        row(fair, finish, WorkAhead::Before, 20_000),
+        row(fair, finish, WorkAhead::Backlog, 20_000),
     ]
 }
 
--- a/lib/benches/dispatcher.rs
+++ b/lib/benches/dispatcher.rs
@@ -1,4 +1,5 @@
-//! Processor time of the dispatcher: one job from submission to answer, over the sizes that matter.
+//! Processor time of the dispatcher for a job from submission to answer, by the number of tasks and
+//! of upstreams.
 
 #![allow(missing_docs)]
 
@@ -32,7 +33,7 @@
 
 const UPSTREAMS: [usize; 3] = [7, 50, 350];
 
-/// A dispatcher that alone uses this many upstreams of eight slots.
+/// A dispatcher without siblings, and the time and number of its latest event and request.
 struct Bench {
     dispatcher: Dispatcher,
     now: Timestamp,
@@ -40,6 +41,7 @@
 }
 
 impl Bench {
+    /// Returns a dispatcher whose document lists `upstreams` upstreams of eight slots.
     fn new(upstreams: usize) -> Self {
         let mut dispatcher = Dispatcher::new(DispatcherConfig {
             instance: Arc::from("a"),
@@ -63,7 +65,7 @@
         }
     }
 
-    /// Runs one job whose tasks end in the order in which they start; gives the events handled.
+    /// Runs one job whose tasks all finish; returns the number of events handled.
     fn run_job(&mut self, tasks: usize) -> usize {
         let mut actions = Vec::new();
         let mut open = Vec::new();
@@ -100,11 +102,11 @@
 fn document(upstreams: usize) -> Document {
     let parsed = almondhead_lib::check::check_document(DOCUMENT);
     let mut document = parsed.expect("the document is valid");
-    let model = document.upstreams[0].clone();
+    let template = document.upstreams[0].clone();
     let copies = (0..upstreams).map(|index| Upstream {
         name: format!("u{index}"),
         slots: 8,
-        ..model.clone()
+        ..template.clone()
     });
     document.upstreams = copies.collect();
     document.teams[0].max_open_tasks = u32::MAX;
--- a/lib/benches/policies.rs
+++ b/lib/benches/policies.rs
@@ -1,4 +1,4 @@
-//! What the policies cost, at several sizes.
+//! Processor time of the queues, of the assignment of owners and of the choice of upstreams.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -22,13 +22,14 @@
 
 const TEAMS: usize = 72;
 
-/// A queue and the jobs in it.
-struct Filled {
+/// A queue and its entries.
+struct FilledQueue {
     queue: Box<dyn JobQueue>,
     entries: Vec<QueueEntry>,
 }
 
-fn filled(policy: QueuePolicy, teams: usize, jobs: usize) -> Filled {
+/// Returns a queue with `jobs` jobs, spread evenly over `teams` teams.
+fn filled_queue(policy: QueuePolicy, teams: usize, jobs: usize) -> FilledQueue {
     let mut team_keys: SlotMap<TeamKey, ()> = SlotMap::with_key();
     let teams: Vec<TeamKey> = (0..teams).map(|_| team_keys.insert(())).collect();
     let mut job_keys: SlotMap<JobKey, ()> = SlotMap::with_key();
@@ -45,22 +46,23 @@
         queue.insert(Timestamp::from_us(number as u64), entry);
         entries.push(entry);
     }
-    Filled { queue, entries }
+    FilledQueue { queue, entries }
 }
 
-/// A start, the end of a task, and a job that goes and one that comes.
-fn queue_step(filled: &mut Filled, step: usize) {
+/// Selects the next job, charges a start, updates a job after the end of a task, and removes and
+/// inserts a job.
+fn queue_step(filled_queue: &mut FilledQueue, step: usize) {
     let now = Timestamp::from_us(step as u64 * 1_000);
-    let job = filled.queue.next(now, &mut |_| true);
+    let job = filled_queue.queue.next(now, &mut |_| true);
     black_box(job);
-    let entry = filled.entries[step % filled.entries.len()];
-    filled
+    let entry = filled_queue.entries[step % filled_queue.entries.len()];
+    filled_queue
         .queue
         .charge(entry.team, entry.weight, Duration::from_millis(300));
     let remaining = (step * 13 % 480 + 1) as u32;
-    filled.queue.update(entry.job, remaining);
-    filled.queue.remove(entry.job);
-    filled.queue.insert(now, entry);
+    filled_queue.queue.update(entry.job, remaining);
+    filled_queue.queue.remove(entry.job);
+    filled_queue.queue.insert(now, entry);
 }
 
 fn queue_steps(criterion: &mut Criterion) {
@@ -69,11 +71,11 @@
         for jobs in [100, 1_000, 10_000] {
             let id = BenchmarkId::new(format!("{policy:?}"), jobs);
             group.bench_function(id, |bencher| {
-                let mut filled = filled(policy, TEAMS, jobs);
+                let mut filled_queue = filled_queue(policy, TEAMS, jobs);
                 let mut step = 0;
                 bencher.iter(|| {
                     step += 1;
-                    queue_step(&mut filled, step);
+                    queue_step(&mut filled_queue, step);
                 });
             });
         }
@@ -85,18 +87,18 @@
     let mut group = criterion.benchmark_group("queue_next");
     for teams in [9, 36, 72, 288] {
         group.bench_function(BenchmarkId::new("teams", teams), |bencher| {
-            let mut filled = filled(QueuePolicy::FairFewestRemaining, teams, 1_000);
-            bencher.iter(|| filled.queue.next(Timestamp::ZERO, &mut |_| true));
+            let mut filled_queue = filled_queue(QueuePolicy::FairFewestRemaining, teams, 1_000);
+            bencher.iter(|| filled_queue.queue.next(Timestamp::ZERO, &mut |_| true));
         });
     }
     group.bench_function("nothing fits", |bencher| {
-        let mut filled = filled(QueuePolicy::FairFewestRemaining, TEAMS, 1_000);
-        bencher.iter(|| filled.queue.next(Timestamp::ZERO, &mut |_| false));
+        let mut filled_queue = filled_queue(QueuePolicy::FairFewestRemaining, TEAMS, 1_000);
+        bencher.iter(|| filled_queue.queue.next(Timestamp::ZERO, &mut |_| false));
     });
     group.finish();
 }
 
-fn assignment(criterion: &mut Criterion) {
+fn owner_assignment(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("assign_owners");
     for (upstream_count, instance_count) in [(50, 7), (350, 50), (1_400, 200)] {
         let upstreams: Vec<String> = (0..upstream_count)
@@ -117,7 +119,7 @@
     group.finish();
 }
 
-fn choices(criterion: &mut Criterion) {
+fn upstream_choice(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("choose");
     let mut keys: SlotMap<UpstreamKey, ()> = SlotMap::with_key();
     for count in [7, 50, 350, 1_400] {
@@ -144,7 +146,7 @@
     let mut criterion = Criterion::default().configure_from_args();
     queue_steps(&mut criterion);
     queue_next(&mut criterion);
-    assignment(&mut criterion);
-    choices(&mut criterion);
+    owner_assignment(&mut criterion);
+    upstream_choice(&mut criterion);
     criterion.final_summary();
 }
--- a/lib/benches/queue_trial.rs
+++ b/lib/benches/queue_trial.rs
@@ -1,7 +1,8 @@
-//! A queueing trial: the orders of the queue against each other, on one pool of slots.
+//! Simulates a pool of slots and compares the orders of the queue.
 //!
-//! Everything but the queue is the same for each row: arrivals, run times and teams are drawn
-//! from one seed. Response is over the ideal, the time of the same job on empty slots.
+//! The rows differ only in the queue: arrivals, run times and teams are drawn from one seed.
+//! Response times are given relative to the ideal, which is the response time of the same job on
+//! empty slots.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,22 +24,24 @@
 mod trial_load;
 
 const SEED: u64 = 20_261_203;
-/// The slots of the whole site, and of one entry instance's own upstreams.
+/// The numbers of slots simulated: those of a whole site, and those of one entry instance's own
+/// upstreams.
 const POOLS: [usize; 2] = [400, 56];
 const TEAMS: usize = 72;
 const JOBS: usize = 12_000;
+/// The first jobs, which are left out of the results.
 const WARM_UP_JOBS: usize = 1_000;
 const DEADLINE_US: u64 = 60_000_000;
 
-/// The arrivals of one scenario.
+/// The load of one scenario.
 #[derive(Clone, Copy)]
 struct Scenario {
     name: &'static str,
-    /// Offered work over capacity, flood left out.
+    /// The offered work without the flood, as a share of the capacity.
     load: f64,
-    /// Work that one team adds for [`FLOOD_US`], over capacity.
+    /// The work that one team adds for [`FLOOD_US`], as a share of the capacity.
     flood: f64,
-    /// The tasks of each job of the flood.
+    /// The number of tasks of each job of the flood.
     flood_tasks: usize,
 }
 
@@ -78,19 +81,24 @@
     },
 ];
 
+/// A job of the trace.
 struct Arrival {
     at_us: u64,
     team: usize,
     runs_us: Vec<u64>,
 }
 
+/// A job that has arrived and not ended.
 struct OpenJob {
+    /// The index of its arrival.
     arrival: usize,
+    /// The number of tasks started.
     started: usize,
+    /// The number of tasks ended.
     ended: usize,
 }
 
-/// A team drawn with a weight of one over its number.
+/// Draws a team, with a probability inversely proportional to its number.
 fn team(rng: &mut StdRng) -> usize {
     let exponent: f64 = rng.random();
     ((TEAMS as f64 + 1.0).powf(exponent) as usize - 1).min(TEAMS - 1)
@@ -129,7 +137,7 @@
     jobs
 }
 
-/// The response of a job on empty slots.
+/// Returns the response time of a job on empty slots, in microseconds.
 fn ideal_us(slots: usize, runs_us: &[u64]) -> u64 {
     let mut free_at: BinaryHeap<Reverse<u64>> = (0..slots).map(|_| Reverse(0)).collect();
     let mut last_us = 0;
@@ -141,13 +149,13 @@
     last_us
 }
 
-/// Response over ideal of each job, in the order of `arrivals`.
-fn responses(slots: usize, arrivals: &[Arrival], queue: &mut dyn JobQueue) -> Vec<f64> {
+/// Returns the response time of each job relative to the ideal, in the order of `arrivals`.
+fn relative_responses(slots: usize, arrivals: &[Arrival], queue: &mut dyn JobQueue) -> Vec<f64> {
     let mut teams: SlotMap<TeamKey, ()> = SlotMap::with_key();
     let team_keys: Vec<TeamKey> = (0..=TEAMS).map(|_| teams.insert(())).collect();
     let mut jobs: SlotMap<JobKey, OpenJob> = SlotMap::with_key();
     let mut running: BinaryHeap<Reverse<(u64, JobKey)>> = BinaryHeap::new();
-    let mut responses = vec![0.0; arrivals.len()];
+    let mut relative_responses = vec![0.0; arrivals.len()];
     let mut next = 0;
     loop {
         let arrival_us = arrivals.get(next).map_or(u64::MAX, |job| job.at_us);
@@ -156,7 +164,7 @@
             .map_or(u64::MAX, |Reverse((at_us, _))| *at_us);
         let now_us = arrival_us.min(end_us);
         if now_us == u64::MAX {
-            return responses;
+            return relative_responses;
         }
         let now = Timestamp::from_us(now_us);
         if arrival_us <= end_us {
@@ -186,7 +194,8 @@
             let remaining = arrival.runs_us.len() - job.ended;
             if remaining == 0 {
                 let response_us = (now_us - arrival.at_us) as f64;
-                responses[job.arrival] = response_us / ideal_us(slots, &arrival.runs_us) as f64;
+                relative_responses[job.arrival] =
+                    response_us / ideal_us(slots, &arrival.runs_us) as f64;
                 jobs.remove(key);
             } else if job.started < arrival.runs_us.len() {
                 queue.update(key, remaining as u32);
@@ -217,20 +226,20 @@
     values[index.min(values.len() - 1)]
 }
 
-fn print_row(name: &str, arrivals: &[Arrival], responses: &[f64]) {
-    let of = |wanted: &dyn Fn(&Arrival) -> bool| -> Vec<f64> {
+fn print_row(name: &str, arrivals: &[Arrival], relative_responses: &[f64]) {
+    let responses_of = |wanted: &dyn Fn(&Arrival) -> bool| -> Vec<f64> {
         arrivals
             .iter()
-            .zip(responses)
+            .zip(relative_responses)
             .skip(WARM_UP_JOBS)
             .filter(|(arrival, _)| wanted(arrival))
             .map(|(_, response)| *response)
             .collect()
     };
-    let mut singles = of(&|job| job.team < TEAMS && job.runs_us.len() == 1);
-    let mut several = of(&|job| job.team < TEAMS && job.runs_us.len() > 1);
-    let mut large = of(&|job| job.team < TEAMS && job.runs_us.len() > 200);
-    let mut flood = of(&|job| job.team == TEAMS);
+    let mut singles = responses_of(&|job| job.team < TEAMS && job.runs_us.len() == 1);
+    let mut several = responses_of(&|job| job.team < TEAMS && job.runs_us.len() > 1);
+    let mut large = responses_of(&|job| job.team < TEAMS && job.runs_us.len() > 200);
+    let mut flood = responses_of(&|job| job.team == TEAMS);
     println!(
         "| {name} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} | {:.2} |",
         percentile(&mut singles, 0.5),
@@ -257,7 +266,9 @@
 }
 
 fn print_pool(slots: usize) {
-    println!("\nseed {SEED}, {slots} slots, {JOBS} jobs, {TEAMS} teams; response over ideal");
+    println!(
+        "\nseed {SEED}, {slots} slots, {JOBS} jobs, {TEAMS} teams; response time relative to the ideal"
+    );
     for scenario in SCENARIOS {
         let arrivals = arrivals(slots, scenario);
         println!("\n{}, {} jobs\n", scenario.name, arrivals.len());
@@ -285,8 +296,8 @@
             ));
         }
         for (name, mut queue) in rows {
-            let responses = responses(slots, &arrivals, queue.as_mut());
-            print_row(&name, &arrivals, &responses);
+            let relative_responses = relative_responses(slots, &arrivals, queue.as_mut());
+            print_row(&name, &arrivals, &relative_responses);
         }
     }
 }
--- a/lib/examples/state_costs.rs
+++ b/lib/examples/state_costs.rs
@@ -1,6 +1,8 @@
-//! Prints the memory of each kind of state at three sizes, and the control traffic of one instance.
+//! Prints the memory used by each kind of state at three sizes, and the control traffic of one
+//! instance.
 //!
-//! Memory is the growth of the process's resident set, so run it in release and alone:
+//! Memory is measured as the growth of the process's resident set, so run it in release mode and on
+//! its own:
 //! `cargo run --release -p almondhead-lib --example state_costs`.
 
 use std::fs;
@@ -30,17 +32,19 @@
 
 const PAGE_BYTES: u64 = 4_096;
 
+/// The size of a task's input.
 const INPUT_BYTES: usize = 200;
 
-const RESULT_SECONDS: u64 = 10;
+/// The simulated time over which control traffic is counted.
+const TRAFFIC_SECONDS: u64 = 10;
 
 fn main() {
-    print_slope("session", &[10_000, 20_000, 40_000], |count| {
+    print_memory_per_item("session", &[10_000, 20_000, 40_000], |count| {
         let mut dispatcher = dispatcher(count, 3, 1);
-        grow(|| {
+        resident_growth(|| {
             for _ in 0..count {
                 let session = dispatcher.open_session(Timestamp::from_us(2));
-                session.expect("a session");
+                session.expect("the dispatcher opens a session");
             }
             dispatcher
         })
@@ -48,21 +52,21 @@
     for tasks in [1, 17, 480] {
         let counts = [9_600 / tasks, 19_200 / tasks, 38_400 / tasks];
         let name = format!("queued job of {tasks} tasks, {INPUT_BYTES} bytes each");
-        print_slope(&name, &counts, |count| grow_jobs(count, tasks));
+        print_memory_per_item(&name, &counts, |count| queued_jobs_growth(count, tasks));
     }
-    print_slope("upstream", &[350, 700, 1_400], |count| {
-        grow(|| dispatcher(1, count, 1))
+    print_memory_per_item("upstream", &[350, 700, 1_400], |count| {
+        resident_growth(|| dispatcher(1, count, 1))
     });
-    print_slope("team", &[18, 36, 72], |count| {
-        grow(|| dispatcher(1, 3, count))
+    print_memory_per_item("team", &[18, 36, 72], |count| {
+        resident_growth(|| dispatcher(1, 3, count))
     });
     for siblings in [6, 50, 199] {
-        print_control(siblings);
+        print_control_traffic(siblings);
     }
 }
 
-/// Prints the bytes of one more item between the smallest and the largest count.
-fn print_slope(name: &str, counts: &[usize], measure: impl Fn(usize) -> u64) {
+/// Prints the memory at each count, and the memory per item between the smallest and the largest.
+fn print_memory_per_item(name: &str, counts: &[usize], measure: impl Fn(usize) -> u64) {
     let bytes: Vec<u64> = counts.iter().map(|count| measure(*count)).collect();
     let grown = bytes[bytes.len() - 1].saturating_sub(bytes[0]);
     let more = counts[counts.len() - 1] - counts[0];
@@ -70,19 +74,19 @@
     println!("{name}: {counts:?} take {bytes:?} bytes, {each} bytes each");
 }
 
-/// The growth of the resident set in bytes while `make` runs.
+/// Returns the growth of the resident set in bytes while `make` runs.
 ///
-/// What it makes is never freed, so that later readings cannot use its memory again.
-fn grow<T>(make: impl FnOnce() -> T) -> u64 {
+/// The value that it returns is never freed, so that later measurements cannot reuse its memory.
+fn resident_growth<T>(make: impl FnOnce() -> T) -> u64 {
     let before = resident_bytes();
-    let made = make();
+    let value = make();
     let after = resident_bytes();
-    std::mem::forget(made);
+    std::mem::forget(value);
     after.saturating_sub(before)
 }
 
 fn resident_bytes() -> u64 {
-    let statm = fs::read_to_string("/proc/self/statm").expect("the kernel tells memory");
+    let statm = fs::read_to_string("/proc/self/statm").expect("read /proc/self/statm");
     let pages = statm.split(' ').nth(1).and_then(|pages| pages.parse().ok());
     pages.unwrap_or(0_u64) * PAGE_BYTES
 }
@@ -127,10 +131,10 @@
     document
 }
 
-/// The growth by `count` jobs that wait; the inputs are those of the callers' requests.
-fn grow_jobs(count: usize, tasks: usize) -> u64 {
+/// Returns the growth of the resident set in bytes by `count` queued jobs, including their inputs.
+fn queued_jobs_growth(count: usize, tasks: usize) -> u64 {
     let mut dispatcher = dispatcher(1, 1, 1);
-    grow(|| {
+    resident_growth(|| {
         for request in 0..count {
             let inputs = (0..tasks).map(|_| Bytes::from(vec![b'x'; INPUT_BYTES]));
             let submission = Submission {
@@ -155,13 +159,13 @@
     })
 }
 
-/// Prints what one instance sends its siblings unasked while nothing changes.
-fn print_control(siblings: usize) {
+/// Prints the rate of the digests that one idle instance sends to its siblings.
+fn print_control_traffic(siblings: usize) {
     let mut dispatcher = dispatcher(1, 7, 1);
     let listed = (0..siblings).map(|index| Sibling {
         name: Arc::from(format!("sibling-{index}")),
         data_centre: Arc::from("east"),
-        peer_address: "127.0.0.1:1".parse().expect("an address"),
+        peer_address: "127.0.0.1:1".parse().expect("the address is valid"),
         incarnation: None,
         leaving: false,
     });
@@ -179,7 +183,7 @@
         incarnation: Incarnation(u64::MAX),
     };
     let (mut messages, mut bytes) = (0, 0);
-    let end = Timestamp::from_us(2) + Duration::from_secs(RESULT_SECONDS);
+    let end = Timestamp::from_us(2) + Duration::from_secs(TRAFFIC_SECONDS);
     while let Some(due) = dispatcher.next_wakeup().filter(|due| *due <= end) {
         dispatcher.handle(due, Event::Tick, &mut actions);
         for action in actions.drain(..) {
@@ -189,7 +193,7 @@
                     message,
                 };
                 let sealed = sealer.seal(&envelope);
-                let sealed = sealed.expect("it fits an envelope");
+                let sealed = sealed.expect("the message fits an envelope");
                 messages += 1;
                 bytes += sealed.len() as u64;
             }
@@ -197,7 +201,7 @@
     }
     println!(
         "digests with {siblings} siblings, idle: {} messages/s, {} bytes/s",
-        messages / RESULT_SECONDS,
-        bytes / RESULT_SECONDS
+        messages / TRAFFIC_SECONDS,
+        bytes / TRAFFIC_SECONDS
     );
 }
--- a/lib/gen-protos/src/lib.rs
+++ b/lib/gen-protos/src/lib.rs
@@ -1,4 +1,4 @@
-//! Generates the peer message types of `almondhead-lib` from their `.proto` file.
+//! Generates the peer message types of `almondhead-lib` from `lib/proto/peer.proto`.
 
 use std::error::Error;
 use std::path::Path;
@@ -11,11 +11,11 @@
 const HEADER: &str =
     "// Generated from lib/proto/peer.proto by almondhead-gen-protos. Do not edit.\n";
 
-/// The text of the generated module.
+/// Returns the source of the generated module.
 ///
 /// # Errors
 ///
-/// When the `.proto` file cannot be read or is not valid.
+/// If the `.proto` file cannot be read or is not valid.
 pub fn generate() -> Result<String, Box<dyn Error>> {
     let files = protox::compile([PROTO_FILE], [lib_dir().join("proto")])?;
     let modules = files
@@ -31,7 +31,7 @@
     Ok(text)
 }
 
-/// Where the generated module is committed.
+/// Returns the path of the committed module.
 pub fn committed_path() -> PathBuf {
     lib_dir().join("src").join("peer_proto.rs")
 }
--- a/lib/gen-protos/src/main.rs
+++ b/lib/gen-protos/src/main.rs
@@ -1,4 +1,4 @@
-//! Writes the generated peer message types; run by hand when the `.proto` file changes.
+//! Writes the generated peer message types. Run it by hand after a change of the `.proto` file.
 
 use std::error::Error;
 use std::fs;
--- a/lib/gen-protos/tests/committed_code.rs
+++ b/lib/gen-protos/tests/committed_code.rs
@@ -1,4 +1,4 @@
-//! The committed types are those of the committed `.proto` file.
+//! The committed module matches the committed `.proto` file.
 
 use std::fs;
 
@@ -6,7 +6,7 @@
 use almondhead_gen_protos::generate;
 
 #[test]
-fn committed_is_current() {
+fn committed_module_is_up_to_date() {
     let committed = fs::read_to_string(committed_path()).unwrap();
     assert!(
         committed == generate().unwrap(),
--- a/lib/macros/src/lib.rs
+++ b/lib/macros/src/lib.rs
@@ -1,14 +1,14 @@
-//! Attribute macros that add the sets of derives the workspace shares.
+//! Attribute macros for the sets of derives that the workspace shares.
 
 use proc_macro::TokenStream;
 
-/// Adds `Clone, Debug, PartialEq, Eq`: a plain value.
+/// Derives `Clone, Debug, PartialEq, Eq`, for a plain value.
 #[proc_macro_attribute]
 pub fn value(_arguments: TokenStream, item: TokenStream) -> TokenStream {
     with_derives("Clone, Debug, PartialEq, Eq", item)
 }
 
-/// Adds the derives of [`macro@value`] with `Copy, Hash, PartialOrd, Ord`: a small key.
+/// Derives those of [`macro@value`] and `Copy, Hash, PartialOrd, Ord`, for a small key.
 #[proc_macro_attribute]
 pub fn key(_arguments: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(
@@ -17,7 +17,7 @@
     )
 }
 
-/// Adds the derives of [`macro@value`] with serde's and a JSON Schema: a part of a document.
+/// Derives `Clone, Debug, PartialEq`, serde's traits and `JsonSchema`, for a part of a document.
 ///
 /// The item's crate must depend on `serde` and `schemars`.
 #[proc_macro_attribute]
@@ -28,7 +28,7 @@
     )
 }
 
-/// Adds the derives of [`macro@value`] with serde's: a message in JSON.
+/// Derives `Clone, Debug, PartialEq` and serde's traits, for a message in JSON.
 ///
 /// The item's crate must depend on `serde`.
 #[proc_macro_attribute]
@@ -42,7 +42,7 @@
 fn with_derives(derives: &str, item: TokenStream) -> TokenStream {
     let mut tokens: TokenStream = format!("#[derive({derives})]")
         .parse()
-        .expect("derive list is valid Rust");
+        .expect("the derive list is valid Rust");
     tokens.extend(item);
     tokens
 }
