--- a/lib/benches/admission_trial.rs
+++ b/lib/benches/admission_trial.rs
@@ -95,7 +95,7 @@
 
 /// Counts of the jobs that arrived in the burst, and the run time spent during it.
 #[derive(Debug, Default)]
-struct Outcome {
+struct Tally {
     jobs: u32,
     first_try: u32,
     later_try: u32,
@@ -126,7 +126,7 @@
     admission: Box<dyn Admission>,
     estimate: RunEstimate,
     rng: StdRng,
-    outcome: Outcome,
+    tally: Tally,
 }
 
 fn requests() -> Vec<Request> {
@@ -167,11 +167,11 @@
             admission: admission_for(row.admission),
             estimate: RunEstimate::default(),
             rng: StdRng::seed_from_u64(SEED + 1),
-            outcome: Outcome::default(),
+            tally: Tally::default(),
         }
     }
 
-    fn run(mut self) -> Outcome {
+    fn run(mut self) -> Tally {
         loop {
             let arrival_us = self.arrivals.peek().map_or(u64::MAX, |next| next.0.0);
             let end_us = self.running.peek().map_or(u64::MAX, |next| next.0.0);
@@ -179,7 +179,7 @@
             self.expire();
             if arrival_us <= end_us {
                 let Some(Reverse((_, index))) = self.arrivals.pop() else {
-                    return self.outcome;
+                    return self.tally;
                 };
                 self.handle_arrival(index);
             } else if let Some(Reverse((_, run_us, job))) = self.running.pop() {
@@ -228,19 +228,19 @@
         let counted = u32::from(request.is_in_burst());
         let first = u32::from(is_first) * counted;
         let single = u32::from(tasks == 1) * first;
-        self.outcome.jobs += first;
-        self.outcome.single_task_jobs += single;
+        self.tally.jobs += first;
+        self.tally.single_task_jobs += single;
         let Err(refusal) = answer else {
-            self.outcome.first_try += first;
-            self.outcome.later_try += counted - first;
-            self.outcome.single_task_first_try += single;
+            self.tally.first_try += first;
+            self.tally.later_try += counted - first;
+            self.tally.single_task_first_try += single;
             self.admit(index);
             return;
         };
-        self.outcome.refusals += counted;
-        self.outcome.second_refusals += counted * u32::from(request.tries == 2);
+        self.tally.refusals += counted;
+        self.tally.second_refusals += counted * u32::from(request.tries == 2);
         if request.tries == MAX_TRIES {
-            self.outcome.given_up += counted;
+            self.tally.given_up += counted;
             return;
         }
         let back = self.now + refusal.retry_after;
@@ -278,9 +278,9 @@
         if remaining > 0 {
             return;
         }
-        self.outcome.finished += u32::from(request.is_in_burst());
+        self.tally.finished += u32::from(request.is_in_burst());
         if self.is_burst() {
-            self.outcome.good_us += request.runs_us.iter().sum::<u64>();
+            self.tally.good_us += request.runs_us.iter().sum::<u64>();
         }
         self.jobs.remove(key);
     }
@@ -298,7 +298,7 @@
             let job = self.jobs.remove(key).expect("the job is open");
             let request = &self.requests[job.request];
             let ended_us = request.runs_us[..job.ended].iter().sum();
-            self.outcome.late += u32::from(request.is_in_burst());
+            self.tally.late += u32::from(request.is_in_burst());
             self.count_waste(ended_us);
         }
     }
@@ -324,7 +324,7 @@
 
     fn count_waste(&mut self, run_us: u64) {
         if self.is_burst() {
-            self.outcome.wasted_us += run_us;
+            self.tally.wasted_us += run_us;
         }
     }
 
@@ -334,25 +334,25 @@
 }
 
 fn print_row(row: Row, deadline: Duration) {
-    let outcome = Trial::new(row, deadline).run();
+    let tally = Trial::new(row, deadline).run();
     let capacity_us = (BURST_UNTIL_US - BURST_FROM_US) as f64 * f64::from(SLOTS);
-    let first_refusals = outcome.jobs - outcome.first_try;
+    let first_refusals = tally.jobs - tally.first_try;
     println!(
         "| {:?}, {:?}, {:?}, {} | {} | {:.2} | {:.2} | {:.2} | {:.2} | {} | {} | {} | {:.3} | {:.3} |",
         row.queue,
         row.admission,
         row.ahead,
         row.max_queued_tasks,
-        outcome.jobs,
-        f64::from(outcome.first_try) / f64::from(outcome.jobs),
-        f64::from(outcome.single_task_first_try) / f64::from(outcome.single_task_jobs),
-        1.0 - f64::from(outcome.second_refusals) / f64::from(first_refusals.max(1)),
-        f64::from(outcome.refusals) / f64::from(outcome.jobs),
-        outcome.given_up,
-        outcome.finished,
-        outcome.late,
-        outcome.good_us as f64 / capacity_us,
-        outcome.wasted_us as f64 / capacity_us,
+        tally.jobs,
+        f64::from(tally.first_try) / f64::from(tally.jobs),
+        f64::from(tally.single_task_first_try) / f64::from(tally.single_task_jobs),
+        1.0 - f64::from(tally.second_refusals) / f64::from(first_refusals.max(1)),
+        f64::from(tally.refusals) / f64::from(tally.jobs),
+        tally.given_up,
+        tally.finished,
+        tally.late,
+        tally.good_us as f64 / capacity_us,
+        tally.wasted_us as f64 / capacity_us,
     );
 }
 
