--- a/lib/tests/home_rules.rs
+++ b/lib/tests/home_rules.rs
@@ -45,7 +45,7 @@
     assert_eq!(fakes.attempts.len(), 2);
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 3);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
@@ -164,7 +164,7 @@
     fakes.deliver_all();
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 2);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
@@ -178,7 +178,7 @@
     fakes.end_claim(0, TableEnd::Answer);
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 1);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
--- a/lib/tests/job_promises.rs
+++ b/lib/tests/job_promises.rs
@@ -74,7 +74,7 @@
     let mut fakes = CoreFakes::new();
     for step in steps {
         take(&mut fakes, step);
-        let broken = fakes.broken_promises();
+        let broken = fakes.guarantee_violations();
         if !broken.is_empty() {
             return TestResult::error(broken);
         }
@@ -136,7 +136,7 @@
             fakes.end_attempt(0, UpstreamEnd::Finish);
         }
     }
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
     for job in &fakes.jobs {
         assert_eq!(job.open_requests, 0, "{:?}", job.address);
         assert_eq!(job.not_run_answers, 0, "{:?}", job.address);
--- a/lib/tests/refused_batch.rs
+++ b/lib/tests/refused_batch.rs
@@ -35,5 +35,5 @@
     let refused: u64 = siblings.map(|d| d.status().messages.batch_answers).sum();
     assert!(refused > 0, "no batch was refused");
     assert_eq!(fakes.jobs[job].complete_answers, 1);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -418,7 +418,7 @@
     }
 
     /// Returns the violated guarantees, a line each; empty if there are none.
-    pub fn broken_promises(&self) -> String {
+    pub fn guarantee_violations(&self) -> String {
         let mut broken = self.violations.clone();
         let mut possible = self.starts.clone();
         for open in &self.attempts {
