--- a/ctl/tests/load_run.rs
+++ b/ctl/tests/load_run.rs
@@ -48,7 +48,7 @@
         let complete = report.ends["complete"];
         assert_eq!(complete, report.jobs, "{report}");
         assert_eq!((started.tasks - before) as u64, report.tasks);
-        assert_eq!(started.most_of_one, 1);
+        assert_eq!(started.max_starts_per_task, 1);
         let messages = report.messages.ok_or("no messages were read")?;
         assert_eq!(messages.by_kind["upstream_answer"], report.tasks);
         let forwards = messages.by_kind["forward"];
--- a/entry/examples/small_site.rs
+++ b/entry/examples/small_site.rs
@@ -89,7 +89,7 @@
     let starts = site.starts();
     println!("\nthe upstreams' own record of starts:");
     println!("  tasks    {}", starts.tasks);
-    println!("  most starts of one task  {}", starts.most_of_one);
+    println!("  most starts of one task  {}", starts.max_starts_per_task);
     Ok(())
 }
 
--- a/entry/tests/attempt_ends.rs
+++ b/entry/tests/attempt_ends.rs
@@ -114,7 +114,7 @@
             check(case.name, &json_of(&answer)?, case.outcome, case.reason);
             let starts = site.starts();
             assert_eq!(starts.tasks, case.starts, "{}", case.name);
-            assert!(starts.most_of_one <= 1, "{}", case.name);
+            assert!(starts.max_starts_per_task <= 1, "{}", case.name);
         }
         Ok(())
     })
--- a/entry/tests/frozen_process.rs
+++ b/entry/tests/frozen_process.rs
@@ -41,7 +41,7 @@
         Timer::after(Duration::from_secs(1)).await;
         assert_eq!(site.starts().tasks, started_before);
         assert!(started_before < 4 * SLOTS, "frozen too late");
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
 
         let next = site.send_task(0, &job(1, 1)).await?;
         assert_eq!(next.status, 200, "{:?}", next.body);
--- a/entry/tests/graceful_stop.rs
+++ b/entry/tests/graceful_stop.rs
@@ -89,7 +89,7 @@
         }
         assert!(completed > 0, "no load before the stop");
         assert_eq!(site.starts().tasks, completed + 24);
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
         Ok(())
     })
 }
--- a/entry/tests/key_claims.rs
+++ b/entry/tests/key_claims.rs
@@ -71,7 +71,7 @@
         let retried = submit_until_taken(&site, "order-1").await?;
         assert_eq!(retried["outcome"], "complete");
         assert_eq!(site.starts().tasks, 3);
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
         Ok(())
     })
 }
@@ -105,7 +105,7 @@
         let through_other = site.send(submit(&site, 1, "order-1")).await?;
         assert_eq!(json_of(&through_other)?, again);
         assert_eq!(site.starts().tasks, 2);
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
         Ok(())
     })
 }
--- a/entry/tests/whole_path.rs
+++ b/entry/tests/whole_path.rs
@@ -32,7 +32,7 @@
         assert_eq!(body["results"][0]["echo"]["index"], 0);
         let starts = Starts {
             tasks: 1,
-            most_of_one: 1,
+            max_starts_per_task: 1,
         };
         assert_eq!(site.starts(), starts);
         Ok(())
@@ -65,7 +65,7 @@
         assert_eq!(site.send(look_up).await?.body, answer.body);
         let starts = Starts {
             tasks: 480,
-            most_of_one: 1,
+            max_starts_per_task: 1,
         };
         assert_eq!(site.starts(), starts);
         Ok(())
@@ -87,7 +87,7 @@
         let look_up = site.request(0, Method::GET, &path);
         assert_eq!(site.send(look_up).await?.body, first.body);
         assert_eq!(site.starts().tasks, 2);
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
         Ok(())
     })
 }
@@ -242,7 +242,7 @@
         let results = json_of(&answer)?["results"].as_array().map(Vec::len);
         assert_eq!(results, Some(480));
         assert_eq!(site.starts().tasks, 480);
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
 
         site.entries[remote].process.terminate()?;
         let ended = site.entries[remote].process.wait_for_exit(STOP_TIMEOUT);
--- a/lib/testsupport/src/site.rs
+++ b/lib/testsupport/src/site.rs
@@ -235,7 +235,7 @@
         for upstream in &self.upstreams {
             for task in upstream.report().tasks {
                 starts.tasks += 1;
-                starts.most_of_one = starts.most_of_one.max(task.starts);
+                starts.max_starts_per_task = starts.max_starts_per_task.max(task.starts);
             }
         }
         starts
@@ -248,7 +248,7 @@
     /// The number of distinct tasks that started at an upstream, summed over the upstreams.
     pub tasks: usize,
     /// The maximum number of starts of one task at one upstream.
-    pub most_of_one: u64,
+    pub max_starts_per_task: u64,
 }
 
 /// Returns the body of a job whose tasks run for `run_ms` milliseconds.
