--- a/lib/tests/failure_budget.rs
+++ b/lib/tests/failure_budget.rs
@@ -24,7 +24,7 @@
         site.run_ms(1_000);
         let answer = site.answer("00000000000000aa").expect("an answer");
         assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Failed));
-        let starts: u64 = (0..site.upstreams()).map(|up| site.starts_at(up)).sum();
+        let starts: u64 = (0..site.upstreams()).map(|up| site.start_count(up)).sum();
         assert_eq!(starts, u64::from(max_attempts));
     }
 }
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -102,7 +102,7 @@
     let served = play(&mut site, 200, 400);
     assert!(served > 0.97, "{served}");
     // A few failures, and probes that back off.
-    assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
+    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     site.set_upstream_fault(0, Some(UpstreamFault::Hangs));
     let served = play(&mut site, 200, 1_500);
     assert!(served > 0.97, "{served}");
-    assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
+    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
 }
 
 #[test]
@@ -136,9 +136,9 @@
     site.drain_upstream(0);
     // Entries are read every 400 ms; the users allow 2 s.
     site.run_ms(1_000);
-    let before = site.starts_at(0);
+    let before = site.start_count(0);
     play(&mut site, 100, 1_500);
-    assert_eq!(site.starts_at(0), before);
+    assert_eq!(site.start_count(0), before);
 }
 
 /// Guards against a lease of an upstream's former life, whose clock was ahead, that keeps a run
@@ -173,7 +173,7 @@
     site.set_caller_wait(Some(Duration::from_millis(6_000)));
     site.submit(0, "look", "00000000000000aa", &run_job(4, 6_800, 500));
     site.run_ms(100);
-    let upstream = (0..site.upstreams()).find(|upstream| site.starts_at(*upstream) > 0);
+    let upstream = (0..site.upstreams()).find(|upstream| site.start_count(*upstream) > 0);
     let upstream = upstream.expect("an upstream that started a task");
     for node in 0..site.nodes() {
         site.set_upstream_path(node, upstream, Some(PathLoss::Orders));
--- a/lib/tests/reused_names.rs
+++ b/lib/tests/reused_names.rs
@@ -19,7 +19,7 @@
 
 fn upstream_that_started(site: &RunSite) -> usize {
     let mut upstreams = 0..site.upstreams();
-    let found = upstreams.find(|upstream| site.starts_at(*upstream) > 0);
+    let found = upstreams.find(|upstream| site.start_count(*upstream) > 0);
     found.expect("an upstream that started a task")
 }
 
@@ -69,7 +69,7 @@
     site.run_ms(300);
     site.start_node(owner);
     site.run_ms(1_500);
-    assert!(site.starts_at(2) > 0 && site.starts_at(3) > 0);
+    assert!(site.start_count(2) > 0 && site.start_count(3) > 0);
     assert!(site.usable_upstreams(home) > 0);
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
--- a/lib/tests/step_needs.rs
+++ b/lib/tests/step_needs.rs
@@ -56,7 +56,7 @@
             site.run_ms(400);
             assert!(is_completed(&site, &id), "{labelled}, {node}");
         }
-        assert_eq!(site.starts_at(labelled), 3 * site.nodes() as u64);
+        assert_eq!(site.start_count(labelled), 3 * site.nodes() as u64);
     }
 }
 
@@ -70,7 +70,7 @@
     site.run_ms(600);
     assert!(is_completed(&site, "00000000000000aa"));
     for upstream in 0..site.upstreams() {
-        assert_eq!(site.starts_at(upstream), 1, "{upstream}");
+        assert_eq!(site.start_count(upstream), 1, "{upstream}");
     }
 }
 
@@ -89,6 +89,6 @@
             site.run_ms(300);
             assert!(is_completed(&site, &id), "{near}, {node}");
         }
-        assert_eq!(site.starts_at(near), site.nodes() as u64, "{near}");
+        assert_eq!(site.start_count(near), site.nodes() as u64, "{near}");
     }
 }
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -556,7 +556,7 @@
     }
 
     /// Returns the number of runs that an upstream has started.
-    pub fn starts_at(&self, upstream: usize) -> u64 {
+    pub fn start_count(&self, upstream: usize) -> u64 {
         self.upstreams[upstream].starts
     }
 
