--- a/lib/tests/intended_changes.rs
+++ b/lib/tests/intended_changes.rs
@@ -33,7 +33,7 @@
     for node in 1..site.nodes() {
         site.cut_from_store(node, true);
     }
-    site.read_intended(0, 2, &["look", "find"]);
+    site.deliver_intended_state(0, 2, &["look", "find"]);
     site.run_ms(2_000);
     let nodes = site.nodes();
     assert_eq!(count_serving(&mut site, "find", 1), nodes);
@@ -45,11 +45,11 @@
     let mut site = started();
     let nodes = site.nodes();
     for node in 0..nodes {
-        site.read_intended(node, 3, &["look", "find"]);
+        site.deliver_intended_state(node, 3, &["look", "find"]);
     }
     site.run_ms(100);
     for node in 0..nodes {
-        site.read_intended(node, 2, &["look"]);
+        site.deliver_intended_state(node, 2, &["look"]);
     }
     site.run_ms(2_000);
     assert_eq!(count_serving(&mut site, "find", 1), nodes);
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -497,7 +497,7 @@
     /// # Panics
     ///
     /// If the state cannot be decoded.
-    pub fn read_intended(&mut self, node: usize, version: u64, queues: &[&str]) {
+    pub fn deliver_intended_state(&mut self, node: usize, version: u64, queues: &[&str]) {
         let body = Bytes::from(format!("{version} {}", queues.join(" ")));
         let state = QueueNamesDecoder.decode(&body).expect("a valid state");
         let state = Arc::new(state);
