--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -75,7 +75,7 @@
     let mut site = started(1);
     site.submit(0, "look", "00000000000000aa", &run_job(24, 6_800, 250));
     site.run_ms(50);
-    site.set_upstream_fault(0, Some(UpstreamFault::Dark));
+    site.set_upstream_fault(0, Some(UpstreamFault::Down));
     site.run_ms(3_000);
     let answer = site.answer("00000000000000aa").expect("an answer");
     // A lease lasts a second; then the tasks run once more, elsewhere.
--- a/lib/tests/random_faults.rs
+++ b/lib/tests/random_faults.rs
@@ -57,7 +57,7 @@
                 UpstreamFault::FailsAll,
                 UpstreamFault::Hangs,
                 UpstreamFault::Slow(5.0),
-                UpstreamFault::Dark,
+                UpstreamFault::Down,
             ];
             let kind = kinds[site.chance(4) as usize];
             site.set_upstream_fault(upstream, Some(kind));
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -293,7 +293,7 @@
             Fault::Dark(upstream) => match is_on {
                 true => self
                     .site
-                    .set_upstream_fault(upstream, Some(UpstreamFault::Dark)),
+                    .set_upstream_fault(upstream, Some(UpstreamFault::Down)),
                 false => self.site.restart_upstream(upstream),
             },
             Fault::Reborn(upstream) if is_on => self.site.restart_upstream(upstream),
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -466,7 +466,7 @@
     /// Sets the fault of an upstream, or ends it with `None`.
     pub fn set_upstream_fault(&mut self, upstream: usize, fault: Option<UpstreamFault>) {
         self.upstreams[upstream].fault = fault;
-        if fault == Some(UpstreamFault::Dark) {
+        if fault == Some(UpstreamFault::Down) {
             self.upstreams[upstream].reset(self.now);
         }
     }
@@ -846,7 +846,7 @@
         run_order: &RunOrder,
         is_answered: bool,
     ) {
-        if self.upstreams[upstream].fault == Some(UpstreamFault::Dark) {
+        if self.upstreams[upstream].fault == Some(UpstreamFault::Down) {
             return;
         }
         self.advance(upstream);
@@ -972,7 +972,7 @@
     fn answer_renews(&mut self, upstream: usize, all: bool) {
         let now = self.now;
         let state = &mut self.upstreams[upstream];
-        if state.fault == Some(UpstreamFault::Dark) {
+        if state.fault == Some(UpstreamFault::Down) {
             return;
         }
         let due: Vec<WaitingRenew> = state
@@ -1035,8 +1035,8 @@
         self.deliver(node, RunEvent::RosterRead(roster));
         let delivered = &mut self.delivered_listings[node];
         let changes = self.upstreams.iter().filter(|state| {
-            let is_dark = state.fault == Some(UpstreamFault::Dark);
-            !is_dark && delivered.insert(state.listed.id.clone())
+            let is_down = state.fault == Some(UpstreamFault::Down);
+            !is_down && delivered.insert(state.listed.id.clone())
         });
         let changes: Vec<ListingChange> = changes
             .map(|state| ListingChange::Listed(state.listed.clone()))
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -26,7 +26,7 @@
     /// Tasks that it starts take this many times as long.
     Slow(f64),
     /// It has lost all its runs and answers nothing.
-    Dark,
+    Down,
 }
 
 /// A run on an upstream.
