--- a/lib/tests/caller_wait.rs
+++ b/lib/tests/caller_wait.rs
@@ -106,7 +106,7 @@
 /// A random run time in milliseconds with a roughly log-normal distribution: a sum of uniform
 /// variables is close to a normal one.
 fn random_run_ms(site: &mut RunSite) -> u64 {
-    let sum: u64 = (0..12).map(|_| site.chance(1_000)).sum();
+    let sum: u64 = (0..12).map(|_| site.random_below(1_000)).sum();
     let normal = (sum as f64 - 6_000.0) / 1_000.0;
     (MEDIAN_RUN_MS * (LOG_DEVIATION * normal).exp()) as u64
 }
@@ -118,9 +118,9 @@
     let mut jobs = Vec::new();
     for number in 1..=JOBS {
         let id = format!("{number:016x}");
-        let tasks = 2 + site.chance(5);
+        let tasks = 2 + site.random_below(5);
         let run_ms = random_run_ms(&mut site);
-        let declared_ms = run_ms * (60 + site.chance(81)) / 100;
+        let declared_ms = run_ms * (60 + site.random_below(81)) / 100;
         // Callers wait for 1.5 s plus three times the objective, which is 1.6 times the run time
         // plus 60 ms.
         let wait_ms = 1_500 + 3 * (run_ms * 8 / 5 + 60);
--- a/lib/tests/random_faults.rs
+++ b/lib/tests/random_faults.rs
@@ -40,8 +40,8 @@
 ];
 
 fn begin(site: &mut RunSite, fault: Fault) -> usize {
-    let node = site.chance(site.nodes() as u64) as usize;
-    let upstream = site.chance(site.upstreams() as u64) as usize;
+    let node = site.random_below(site.nodes() as u64) as usize;
+    let upstream = site.random_below(site.upstreams() as u64) as usize;
     match fault {
         Fault::Kill => site.kill(node),
         Fault::Freeze => site.freeze(node),
@@ -59,7 +59,7 @@
                 UpstreamFault::Slow(5.0),
                 UpstreamFault::Down,
             ];
-            let kind = kinds[site.chance(4) as usize];
+            let kind = kinds[site.random_below(4) as usize];
             site.set_upstream_fault(upstream, Some(kind));
             return upstream;
         }
@@ -90,21 +90,24 @@
 fn load(site: &mut RunSite, next: &mut u64, ms: u64) {
     let until = site.now_ms() + ms;
     while site.now_ms() < until {
-        let node = site.chance(site.nodes() as u64) as usize;
-        let tasks = 1 + site.chance(8) as u32;
-        let run_ms = 40 + site.chance(400);
+        let node = site.random_below(site.nodes() as u64) as usize;
+        let tasks = 1 + site.random_below(8) as u32;
+        let run_ms = 40 + site.random_below(400);
         let id = format!("{next:016x}");
         *next += 1;
-        let job = run_job(tasks, 4_000 + site.chance(5_000) as u32, run_ms);
+        let job = run_job(tasks, 4_000 + site.random_below(5_000) as u32, run_ms);
         site.submit(node, "look", &id, &job);
-        if site.chance(10) == 0 && *next > 60 {
+        if site.random_below(10) == 0 && *next > 60 {
             // Sent 1.3 s or more ago, at about 50 jobs a second.
-            let again = format!("{:016x}", *next - 60 - site.chance(20).min(*next - 60));
+            let again = format!(
+                "{:016x}",
+                *next - 60 - site.random_below(20).min(*next - 60)
+            );
             if site.answer(&again).is_none() {
                 site.drop_caller(&again);
             }
         }
-        let gap_ms = 10 + site.chance(20);
+        let gap_ms = 10 + site.random_below(20);
         site.run_ms(gap_ms);
     }
 }
@@ -118,8 +121,8 @@
     site.run_ms(1_000);
     let mut next = 1;
     for _ in 0..6 {
-        let first = FAULTS[site.chance(FAULTS.len() as u64) as usize];
-        let second = FAULTS[site.chance(FAULTS.len() as u64) as usize];
+        let first = FAULTS[site.random_below(FAULTS.len() as u64) as usize];
+        let second = FAULTS[site.random_below(FAULTS.len() as u64) as usize];
         let at_first = begin(&mut site, first);
         load(&mut site, &mut next, FAULT_GAP_MS);
         let at_second = begin(&mut site, second);
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -112,7 +112,7 @@
     }
 
     fn chance(&mut self, bound: usize) -> usize {
-        usize::try_from(self.site.chance(bound as u64)).unwrap_or_default()
+        usize::try_from(self.site.random_below(bound as u64)).unwrap_or_default()
     }
 
     fn play(&mut self) {
@@ -142,7 +142,7 @@
             _ => &[60, 500, 1_600],
         };
         let work_ms = works_ms[self.chance(works_ms.len())];
-        let tasks = 1 + self.site.chance(4) as u32;
+        let tasks = 1 + self.site.random_below(4) as u32;
         let caller = Caller {
             id: format!("{:016x}", self.next_job),
             tasks,
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -593,7 +593,7 @@
     }
 
     /// Returns a pseudo-random number below `bound`.
-    pub fn chance(&mut self, bound: u64) -> u64 {
+    pub fn random_below(&mut self, bound: u64) -> u64 {
         // Xorshift: good enough for tests and the same on all platforms.
         self.rng_state ^= self.rng_state << 13;
         self.rng_state ^= self.rng_state >> 7;
@@ -814,18 +814,18 @@
                 order,
             },
         );
-        let chance = self.chance(100);
+        let draw = self.random_below(100);
         let late = u64::from(self.order_fault.late_percent);
         let unanswered = late + u64::from(self.order_fault.unanswered_percent);
-        let delay = match chance < late {
-            true => Duration::from_millis(2_000 + self.chance(8_000)),
+        let delay = match draw < late {
+            true => Duration::from_millis(2_000 + self.random_below(8_000)),
             false => ORDER_DELAY,
         };
         let path = self.upstream_paths.get(&(node, upstream));
         if path == Some(&PathLoss::Orders) {
             return;
         }
-        let is_answered = chance >= unanswered;
+        let is_answered = draw >= unanswered;
         let order = ScheduledEvent::Order {
             node,
             incarnation,
