--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -387,9 +387,9 @@
         };
         let row = self.table.get(&open.key).cloned();
         if row.is_none() && open.is_write && !matches!(end, TableEnd::Unavailable) {
-            let token = open.claim;
+            let claim = open.claim;
             self.table
-                .insert(open.key.clone(), (identity.clone(), token));
+                .insert(open.key.clone(), (identity.clone(), claim));
         }
         let answer = match (end, row) {
             (TableEnd::ApplyAndLose | TableEnd::Unavailable, _) => ClaimEnd::Unavailable,
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -705,9 +705,7 @@
                     self.send_order(node, order, upstream, order_to.order);
                 }
             }
-            RunAction::SendPeer { instance, message } => {
-                self.send_message(node, &instance, message)
-            }
+            RunAction::SendPeer { instance, message } => self.send_peer(node, &instance, message),
             RunAction::RemoveMember { name, row_version } => {
                 let member = self.roster.get(&name);
                 if member.is_some_and(|member| member.row_version == row_version) {
@@ -756,7 +754,7 @@
         }
     }
 
-    fn send_message(&mut self, from: usize, to: &str, message: Box<TimedRunMessage>) {
+    fn send_peer(&mut self, from: usize, to: &str, message: Box<TimedRunMessage>) {
         self.messages += 1;
         let Some(node) = self.nodes.iter().position(|node| &*node.name == to) else {
             return;
