--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -357,7 +357,7 @@
         panic!("messages are still in flight after 10000 deliveries");
     }
 
-    /// Ends the attempt at `index`; an instance restarted since the attempt is not told.
+    /// Ends the attempt at `index`; an instance restarted since the attempt gets no event.
     pub fn end_attempt(&mut self, index: usize, end: UpstreamEnd) {
         let open = self.attempts.remove(index);
         let end = match end {
@@ -378,7 +378,7 @@
         }
     }
 
-    /// Ends the claim at `index`; an instance restarted since the claim is not told.
+    /// Ends the claim at `index`; an instance restarted since the claim gets no event.
     pub fn end_claim(&mut self, index: usize, end: TableEnd) {
         let open = self.claims.remove(index);
         let identity = PeerIdentity {
--- a/lib/testsupport/src/site_faults.rs
+++ b/lib/testsupport/src/site_faults.rs
@@ -118,7 +118,7 @@
     pub async fn within_seconds(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
         let timeout = async {
             Timer::after(WITHIN_SECONDS).await;
-            Err(format!("{field} of entry {entry} is not {wanted} within seconds").into())
+            Err(format!("timed out waiting until {field} of entry {entry} is {wanted}").into())
         };
         or(self.wait_for_status(entry, field, wanted), timeout).await
     }
