--- a/entry/examples/small_site.rs
+++ b/entry/examples/small_site.rs
@@ -90,7 +90,7 @@
     let starts = site.starts();
     println!("\nstarts that the upstreams recorded:");
     println!("  tasks    {}", starts.tasks);
-    println!("  maximum starts of one task  {}", starts.most_of_one);
+    println!("  most starts of one task  {}", starts.max_starts_per_task);
     Ok(())
 }
 
--- a/entry/tests/frozen_process.rs
+++ b/entry/tests/frozen_process.rs
@@ -44,7 +44,7 @@
             started_before < 4 * SLOTS,
             "all tasks had started before the freeze"
         );
-        assert_eq!(site.starts().most_of_one, 1);
+        assert_eq!(site.starts().max_starts_per_task, 1);
 
         let next = site.send_task(0, &job(1, 1)).await?;
         assert_eq!(next.status, 200, "{:?}", next.body);
--- a/lib/tests/home_rules.rs
+++ b/lib/tests/home_rules.rs
@@ -45,7 +45,7 @@
     assert_eq!(fakes.attempts.len(), 2);
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 3);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
@@ -164,7 +164,7 @@
     fakes.deliver_all();
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 2);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
@@ -181,7 +181,7 @@
     fakes.end_claim(0, TableEnd::Answer);
     finish_all(&mut fakes);
     assert_eq!(fakes.jobs[job].complete_answers, 1);
-    assert_eq!(fakes.broken_promises(), "");
+    assert_eq!(fakes.guarantee_violations(), "");
 }
 
 #[test]
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -75,7 +75,7 @@
     let mut site = started(1);
     site.submit(0, "look", "00000000000000aa", &run_job(24, 6_800, 250));
     site.run_ms(50);
-    site.set_upstream_fault(0, Some(UpstreamFault::Dark));
+    site.set_upstream_fault(0, Some(UpstreamFault::Down));
     site.run_ms(3_000);
     let answer = site.answer("00000000000000aa").expect("an answer");
     // The leases expire after a second; then the tasks run again elsewhere.
@@ -102,7 +102,7 @@
     let served = served_share(&mut site, 200, 400);
     assert!(served > 0.97, "{served}");
     // A few failures eject it; after that only probes with a backoff start there.
-    assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
+    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
 }
 
 #[test]
@@ -111,7 +111,7 @@
     site.set_upstream_fault(0, Some(UpstreamFault::Hangs));
     let served = served_share(&mut site, 200, 1_500);
     assert!(served > 0.97, "{served}");
-    assert!(site.starts_at(0) < 20, "{}", site.starts_at(0));
+    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
 }
 
 #[test]
@@ -136,9 +136,9 @@
     site.drain_upstream(0);
     // Entries are read every 400 ms; users accept up to 2 s.
     site.run_ms(1_000);
-    let before = site.starts_at(0);
+    let before = site.start_count(0);
     served_share(&mut site, 100, 1_500);
-    assert_eq!(site.starts_at(0), before);
+    assert_eq!(site.start_count(0), before);
 }
 
 /// Guards against counting the lease of an upstream's previous incarnation, whose clock was ahead, for
@@ -173,7 +173,7 @@
     site.set_caller_wait(Some(Duration::from_millis(6_000)));
     site.submit(0, "look", "00000000000000aa", &run_job(4, 6_800, 500));
     site.run_ms(100);
-    let upstream = (0..site.upstreams()).find(|upstream| site.starts_at(*upstream) > 0);
+    let upstream = (0..site.upstreams()).find(|upstream| site.start_count(*upstream) > 0);
     let upstream = upstream.expect("an upstream that started a task");
     for node in 0..site.nodes() {
         site.set_upstream_path(node, upstream, Some(PathLoss::Orders));
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -113,17 +113,17 @@
         }
     }
 
-    fn chance(&mut self, bound: usize) -> usize {
-        usize::try_from(self.site.chance(bound as u64)).unwrap_or_default()
+    fn random_below(&mut self, bound: usize) -> usize {
+        usize::try_from(self.site.random_below(bound as u64)).unwrap_or_default()
     }
 
     fn run(&mut self) {
         let end_ms = self.site.now_ms() + ACTIVE_MS;
         while self.site.now_ms() < end_ms {
-            if self.chance(3) == 0 {
+            if self.random_below(3) == 0 {
                 self.add_caller();
             }
-            if self.chance(40) == 0 {
+            if self.random_below(40) == 0 {
                 self.begin_fault();
             }
             self.end_faults(false);
@@ -143,8 +143,8 @@
             // Longer than a lease.
             _ => &[60, 500, 1_600],
         };
-        let work_ms = work_choices_ms[self.chance(work_choices_ms.len())];
-        let tasks = 1 + self.site.chance(4) as u32;
+        let work_ms = work_choices_ms[self.random_below(work_choices_ms.len())];
+        let tasks = 1 + self.site.random_below(4) as u32;
         let caller = Caller {
             id: format!("{:016x}", self.next_job),
             tasks,
@@ -176,7 +176,7 @@
             }
             return;
         }
-        let drops_connection = self.chance(400) == 0;
+        let drops_connection = self.random_below(400) == 0;
         let caller = &mut self.callers[index];
         let is_home_down =
             self.incarnations[caller.home] != caller.home_incarnation || self.down[caller.home];
@@ -203,7 +203,7 @@
             self.callers[index].is_finished = true;
             return;
         }
-        let home = self.chance(self.down.len());
+        let home = self.random_below(self.down.len());
         if self.down[home] {
             return;
         }
@@ -218,13 +218,13 @@
     }
 
     fn random_fault(&mut self) -> Fault {
-        let node = self.chance(self.down.len());
-        let other = (node + 1 + self.chance(self.down.len() - 1)) % self.down.len();
-        let upstream = self.chance(self.site.upstreams());
+        let node = self.random_below(self.down.len());
+        let other = (node + 1 + self.random_below(self.down.len() - 1)) % self.down.len();
+        let upstream = self.random_below(self.site.upstreams());
         let loss_choices = [PathLoss::Orders, PathLoss::Answers];
-        let loss = loss_choices[self.chance(loss_choices.len())];
+        let loss = loss_choices[self.random_below(loss_choices.len())];
         let orders = [(10, 0), (0, 20), (10, 10), (50, 0)];
-        let (late_percent, unanswered_percent) = orders[self.chance(orders.len())];
+        let (late_percent, unanswered_percent) = orders[self.random_below(orders.len())];
         let faults = [
             Fault::Kill(node),
             Fault::Stop(node),
@@ -232,7 +232,7 @@
             Fault::Cut(node, other),
             Fault::CutOneWay(node, other),
             Fault::HeldMessages(node, other),
-            Fault::DataCentreCut(self.chance(DATA_CENTRES as usize)),
+            Fault::DataCentreCut(self.random_below(DATA_CENTRES as usize)),
             Fault::StoreCut(node),
             Fault::StoreDown,
             Fault::UnresponsiveUpstream(upstream),
@@ -243,7 +243,7 @@
                 unanswered_percent,
             }),
         ];
-        faults[self.chance(faults.len())]
+        faults[self.random_below(faults.len())]
     }
 
     fn begin_fault(&mut self) {
@@ -257,7 +257,7 @@
                 return;
             }
         }
-        let duration_ms = [30, 80, 300, 900, 2_000][self.chance(5)];
+        let duration_ms = [30, 80, 300, 900, 2_000][self.random_below(5)];
         self.faults.push((self.site.now_ms() + duration_ms, fault));
         self.set_fault(fault, true);
     }
@@ -295,7 +295,7 @@
             Fault::UnresponsiveUpstream(upstream) => match is_on {
                 true => self
                     .site
-                    .set_upstream_fault(upstream, Some(UpstreamFault::Dark)),
+                    .set_upstream_fault(upstream, Some(UpstreamFault::Down)),
                 false => self.site.restart_upstream(upstream),
             },
             Fault::UpstreamRestart(upstream) if is_on => self.site.restart_upstream(upstream),
