--- a/lib/src/estimated_finish.rs
+++ b/lib/src/estimated_finish.rs
@@ -86,8 +86,8 @@
 
 /// The time that the whole job runs once its first task has started.
 ///
-/// The job may contain a task of high run time. The estimate allows at most half of the time left
-/// for it; a job with less time runs that risk even when the queue is empty.
+/// The estimate allows for one unusually long task, but with at most half of the time left: a job
+/// whose longest task may take more than that is at risk even when the queue is empty.
 fn own_run_time(load: &AdmissionLoad) -> Duration {
     let mean = load.run_estimate.mean;
     let others = load.tasks.saturating_sub(1);
--- a/lib/src/key_table.rs
+++ b/lib/src/key_table.rs
@@ -25,7 +25,8 @@
     Job(JobKey),
     /// This incarnation has claimed the key, and nothing has run under it.
     ClaimedNotRun,
-    /// It is not known whether our claims have taken effect; nothing has run under the key since.
+    /// Whether this incarnation's claims have taken effect is unknown; nothing has run under the key
+    /// since.
     Unresolved {
         /// The number of the first of these claims.
         first_claim: u64,
--- a/lib/src/runs/found_run.rs
+++ b/lib/src/runs/found_run.rs
@@ -8,7 +8,7 @@
 use super::run_message::RunEnd;
 use crate::time::Timestamp;
 
-/// How long such a run is kept.
+/// How long a found run is kept for the former owner to report the takeover.
 ///
 /// The former owner learns of the new one from the answer to its next order or from the new owner's
 /// message, within 200 ms.
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -44,8 +44,8 @@
 /// Their owners end them at the same time; a message takes a few milliseconds.
 const ENDING_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// How long after the first task of a job that has not begun is reported overdue its other tasks
-/// are reported too.
+/// How long a job that has not begun waits, once one of its tasks is reported overdue, for reports
+/// of the others.
 ///
 /// Owners give them up at the same moment; a message takes a few milliseconds. A task that is not
 /// reported by then counts as running.
@@ -523,8 +523,8 @@
 
     /// Detaches orphaned runs from an owner whose process has ended.
     ///
-    /// The next incarnation counts its accepted batches from the start, so that its reports say
-    /// nothing about the batches of the one before.
+    /// The next incarnation counts its accepted batches from the start, so its reports say nothing
+    /// about the batches of the one before.
     pub(crate) fn forget_owner_incarnation(&mut self, owner: OwnerRef) {
         let tasks = self.jobs.values_mut().flat_map(|job| &mut job.tasks);
         for task in tasks {
@@ -536,8 +536,8 @@
 
     /// Handles runs that the new owner of an upstream found there.
     ///
-    /// They may belong to an earlier attempt, which numbered its runs in the same way. What was
-    /// found of a task whose owner is reachable is kept until that owner reports the takeover.
+    /// They may belong to an earlier attempt, which numbered its runs in the same way. A run whose
+    /// task is still placed at another owner is kept until that owner reports the takeover.
     pub(crate) fn handle_found_runs(
         &mut self,
         now: Timestamp,
@@ -1020,7 +1020,7 @@
         }
     }
 
-    /// Whether the instance, which is stopping, has given its last answers by then.
+    /// Whether this instance is stopping and gives its last answers at `at` or earlier.
     pub(crate) fn is_stopped_by(&self, at: Timestamp) -> bool {
         self.last_answers_at.is_some_and(|last| last <= at)
     }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -90,8 +90,8 @@
     /// Records that a task was stopped on an upstream because it progressed too slowly there.
     ///
     /// `work` is its predicted run time on an upstream of usual speed. A time far above the
-    /// expected one may be the upstream's fault, and counts as known only once a second upstream
-    /// shows one too.
+    /// expected one may be the upstream's fault: it counts as known only once a second run,
+    /// normally on another upstream, was too slow as well, and then the smaller of the two times does.
     pub(crate) fn record_too_slow(&mut self, task: usize, work: Duration, upstream: Arc<str>) {
         let task = &mut self.tasks[task];
         task.avoid.push(upstream);
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether a task started now could not end before the deadline; logs that if so.
+    /// Whether a task started now could not end before the deadline; logs it if so.
     pub(crate) fn is_infeasible(&self, now: Timestamp, task: usize) -> bool {
         let min_run_time = self.min_run_time(task);
         let is_infeasible = now + min_run_time > self.deadline;
--- a/lib/src/runs/leased_run.rs
+++ b/lib/src/runs/leased_run.rs
@@ -23,7 +23,7 @@
 
 /// How many times its expected run time a run must be predicted to take to count as crawling, which
 /// means that its upstream has become slow. Declared run times are off by two fifths, so a run three
-/// times as long is rarely sound.
+/// times as long is rarely due to its declaration.
 const CRAWLING_FACTOR: u32 = 3;
 
 /// The minimum time that a crawling run must have left beyond the expected time of a new run, for a
@@ -47,7 +47,7 @@
     pub(crate) percent: u8,
     /// When its progress last changed.
     pub(crate) progressed_at: Timestamp,
-    /// Its predicted run time on an upstream of usual speed, where it was stopped because of it.
+    /// Its predicted run time on an upstream of usual speed; set when it is stopped as too slow.
     pub(crate) predicted_work: Option<Duration>,
 }
 
@@ -161,7 +161,7 @@
             && left > self.expected_run_time + MIN_RESTART_GAIN
     }
 
-    /// Whether it has made no progress for longer than a sound run could.
+    /// Whether it has made no progress for longer than a healthy run could.
     pub(crate) fn is_stalled(&self, now: Timestamp) -> bool {
         let RunPhase::Active { .. } = self.phase else {
             return false;
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -87,7 +87,7 @@
         batch: u64,
         ends: Vec<TaskEnd>,
     },
-    /// An upstream lists runs that this instance did not start, for all homes.
+    /// Runs that this instance did not start were found on an upstream, for all homes.
     Found {
         upstream: Arc<str>,
         fence: u64,
--- a/lib/src/runs/owner_answers.rs
+++ b/lib/src/runs/owner_answers.rs
@@ -41,7 +41,7 @@
 pub(crate) const BUSY_RENEW_WAIT: Duration = Duration::from_millis(120);
 
 /// How long a renew order may wait for an end while nothing runs. A task that starts meanwhile needs
-/// no renewal before: the lease that it starts with lasts longer.
+/// no renewal before the answer: the lease that it starts with lasts longer.
 pub(crate) const IDLE_RENEW_WAIT: Duration = Duration::from_millis(500);
 
 /// The minimum time between two renew orders when the first one was answered without a new end.
@@ -740,7 +740,7 @@
         let Some(upstream) = self.upstreams.get_mut(upstream_key) else {
             return;
         };
-        // An upstream that is listed as restarted and still has runs of before may be unreachable too.
+        // A restarted upstream that still has runs from before its restart may be unreachable too.
         let has_runs = !upstream.runs.is_empty();
         if upstream.contact == Contact::Reachable
             || (upstream.contact == Contact::TakingOver && has_runs)
--- a/lib/src/runs/run_answer.rs
+++ b/lib/src/runs/run_answer.rs
@@ -40,7 +40,7 @@
     /// Every task is done.
     #[display("completed")]
     Completed,
-    /// A task used up its attempts, or an upstream found its order invalid.
+    /// A task used up its attempts, or an upstream rejected its start order as invalid.
     #[display("failed")]
     Failed,
     /// Its caller cancelled it.
@@ -52,10 +52,10 @@
 #[value]
 #[derive(Copy, Display)]
 pub enum JobProgress {
-    /// No task has started or was sent to an owner.
+    /// No task is placed with an owner, and none may have run.
     #[display("queued")]
     Queued,
-    /// A task has started, or was sent to an owner.
+    /// A task is placed with an owner, or may have run.
     #[display("running")]
     Running,
 }
@@ -67,7 +67,7 @@
     /// The intended state is not known yet.
     #[display("no_intended_state")]
     NoIntendedState,
-    /// The job can never be taken.
+    /// The job is invalid, whatever the load.
     #[display("{_0}")]
     Spec(SpecFault),
     /// No listed upstream has the capacity and the label that one of its tasks needs.
@@ -98,7 +98,7 @@
     #[display("deadline")]
     Deadline,
     /// The owner of a running task is unreachable, and the task could not end in time if it were
-    /// retried.
+    /// retried; or no owner has been reachable for its waiting tasks for too long.
     #[display("owner_lost")]
     OwnerLost,
     /// The caller left.
--- a/lib/src/runs/run_digest.rs
+++ b/lib/src/runs/run_digest.rs
@@ -13,7 +13,7 @@
 pub struct RunDigest {
     /// The load by service.
     pub services: Vec<RunLoad>,
-    /// The queues with jobs that wait at this home without a task started.
+    /// The queues with jobs of this home that have not started, with the number of these jobs.
     pub waiting: Vec<WaitingJobs>,
     /// The version of the intended state that it holds, zero if it holds none.
     pub intended_version: u64,
@@ -44,7 +44,7 @@
     pub name_hash: u32,
     /// The capacity that no run uses.
     pub free: Resources,
-    /// The ratio of measured to expected run times there, in percent.
+    /// The ratio of run times there to those on an upstream of usual speed, in percent.
     pub slowness_percent: u32,
 }
 
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -46,8 +46,8 @@
 /// The minimum time between a report and the next one that a changed load causes.
 const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A report is sent between heartbeats when the free processor has changed by at least the total
-/// processor divided by this.
+/// A report is sent between heartbeats when the free processor capacity has changed by at least the
+/// total divided by this.
 const REPORTED_CHANGE_DIVISOR: u32 = 8;
 
 /// The delay before a message that found no connection is sent again. Establishing a connection
@@ -90,7 +90,7 @@
     sent_at: Timestamp,
 }
 
-/// Decides what one instance does, without I/O.
+/// Decides, without I/O, what one instance does as a home of jobs and as an owner of upstreams.
 ///
 /// It is deterministic: the same events at the same times yield the same actions.
 #[derive(Debug)]
@@ -113,7 +113,7 @@
     /// The instances with which this one exchanges heartbeats.
     neighbours: Vec<Arc<str>>,
     is_leaving: bool,
-    /// The load of the last report: the free processor, and whether tasks were queued.
+    /// The load of the last report: the free processor capacity, and whether tasks were queued.
     reported_free_millicores: u32,
     reported_has_queue: bool,
     reported_at: Timestamp,
@@ -171,7 +171,7 @@
     /// Whether callers may be sent here: the intended state is known, an owner of upstreams is
     /// reachable, and the instance is not stopping.
     pub fn is_ready(&self) -> bool {
-        self.intended.is_some() && !self.is_leaving && self.has_owner_in_reach()
+        self.intended.is_some() && !self.is_leaving && self.has_reachable_owner()
     }
 
     /// Whether no job is open here and no task is held for a home.
@@ -205,7 +205,7 @@
         }
     }
 
-    fn has_owner_in_reach(&self) -> bool {
+    fn has_reachable_owner(&self) -> bool {
         let peers = self.peers.peers.values();
         let mut reachable = peers.filter(|peer| peer.is_reachable(self.now));
         let mut own = self.owner.upstreams.values();
@@ -666,7 +666,8 @@
         }
     }
 
-    /// Fails a batch that was not sent; other messages that are not repeated are sent again later.
+    /// Fails a batch that was not sent; schedules other messages to be sent again, unless a later
+    /// heartbeat makes up for them.
     fn peer_not_sent(&mut self, instance: &str, message: TimedRunMessage) {
         let Some(peer) = self.peers.by_name(instance) else {
             return;
@@ -680,7 +681,7 @@
                 self.home.handle_unsent_batch(self.now, owner, batch.number);
                 self.peers.peers[peer].digest.services.clear();
             }
-            // These are sent again with the next heartbeat.
+            // Heartbeats repeat reports, and cause the intended state to be requested again.
             RunMessage::Report(_)
             | RunMessage::IntendedRequest { .. }
             | RunMessage::IntendedBody { .. } => {}
@@ -797,7 +798,7 @@
     membership(left) == membership(right)
 }
 
-/// The free processor of a load in thousandths of a core, and whether tasks are queued.
+/// The free processor capacity of a load in thousandths of a core, and whether tasks are queued.
 fn load_summary(digest: &RunDigest) -> (u32, bool) {
     let free = digest.services.iter().flat_map(|load| &load.free);
     let free = free.map(|upstream| upstream.free.cpu_millicores);
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -38,8 +38,7 @@
     /// Run these tasks on upstreams of the receiver.
     #[display("batch {} of job {}", _0.number, _0.job)]
     Place(RunBatch),
-    /// Take charge of these runs, which are already running on an upstream that the receiver has
-    /// taken over.
+    /// Adopt these runs, which are already running on an upstream that the receiver has taken over.
     #[display("batch {} of job {} adopted on {upstream}", batch.number, batch.job)]
     Adopt {
         /// The upstream.
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -71,7 +71,7 @@
         /// The upstream's clock.
         clock_ms: Option<u64>,
     },
-    /// It was not sent, so that it is certainly not carried out.
+    /// It was not sent, so it is certainly not carried out.
     NotSent,
     /// No answer came: it may have been carried out, or may be carried out later.
     Lost,
--- a/lib/src/runs/upstream_choice.rs
+++ b/lib/src/runs/upstream_choice.rs
@@ -26,7 +26,7 @@
     pub avoided: bool,
     /// Whether the task's data is in another rack.
     pub far_from_data: bool,
-    /// The run times there relative to the expected ones, in percent.
+    /// The ratio of run times there to those on an upstream of usual speed, in percent.
     pub slowness_percent: u32,
     /// The processor capacity that would stay free, in thousandths of a core.
     pub left_millicores: u32,
