--- a/lib/src/ejection_gate.rs
+++ b/lib/src/ejection_gate.rs
@@ -7,7 +7,8 @@
 /// ejected at a time.
 const EJECTED_SHARE_DIVISOR: usize = 2;
 
-/// The ratio of an upstream's failure rate to the mean of those in use from which it stays ejected.
+/// The minimum ratio of an ejected upstream's failure rate to the mean rate of those in use, for it
+/// to stay ejected.
 const MIN_RATE_RATIO: f64 = 3.0;
 
 /// The failure rate from which an upstream stays ejected whatever the others' is.
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -24,7 +24,7 @@
     pub queued_tasks: u32,
     /// The estimated run time of one task.
     pub run_estimate: Duration,
-    /// The time until the earliest deadline among the waiting tasks.
+    /// An upper bound on the time until the deadlines of the waiting tasks.
     pub time_left: Duration,
 }
 
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -865,7 +865,7 @@
         }
     }
 
-    /// Takes back ejections of a service's upstreams that the ejection gate does not allow.
+    /// Reverts the ejections of a service's upstreams that the ejection gate does not allow.
     pub(crate) fn review_ejections(&mut self, now: Timestamp, service: &str) {
         let of_service = self.upstreams.values_mut();
         let of_service = of_service.filter(|upstream| &*upstream.listed.service == service);
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -120,7 +120,7 @@
 }
 
 impl RunDispatcher {
-    /// A dispatcher without an intended state and a roster, which refuses every job.
+    /// A dispatcher without an intended state or a roster, which refuses every job.
     pub fn new(settings: RunSettings, decoder: Box<dyn IntendedDecoder>) -> Self {
         let limits = settings.limits;
         let mut timers = TimerService::default();
--- a/lib/src/session_token.rs
+++ b/lib/src/session_token.rs
@@ -43,7 +43,7 @@
     #[display("session token is malformed")]
     Malformed,
     /// The token was not issued under this key.
-    #[display("session token was not issued here")]
+    #[display("session token was not issued under this firm's key")]
     NotIssued,
 }
 
--- a/lib/src/site_state.rs
+++ b/lib/src/site_state.rs
@@ -110,7 +110,7 @@
         self.install_upstreams(&document, instances);
     }
 
-    /// Reverts ejections beyond the share of a service's upstreams that may be ejected.
+    /// Reverts the ejections of a service's upstreams that the ejection gate does not allow.
     pub(crate) fn review_ejections(&mut self, now: Timestamp, service: ServiceKey) {
         let upstreams = self.upstreams.values_mut();
         let of_service = upstreams.filter(|u| u.service == service && u.present && u.assigned);
