--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -87,7 +87,7 @@
         batch: u64,
         ends: Vec<TaskEnd>,
     },
-    /// An upstream lists runs that this instance did not start, for all homes.
+    /// Runs that this instance did not start were found on an upstream, for all homes.
     Found {
         upstream: Arc<str>,
         fence: u64,
@@ -865,7 +865,7 @@
         }
     }
 
-    /// Takes back ejections of a service's upstreams that the ejection gate does not allow.
+    /// Reverts the ejections of a service's upstreams that the ejection gate does not allow.
     pub(crate) fn review_ejections(&mut self, now: Timestamp, service: &str) {
         let of_service = self.upstreams.values_mut();
         let of_service = of_service.filter(|upstream| &*upstream.listed.service == service);
