--- a/entry/src/document_watch.rs
+++ b/entry/src/document_watch.rs
@@ -55,7 +55,7 @@
     problems.first().map_or("", |problem| &problem.reason)
 }
 
-/// Installs the document of a file.
+/// Checks the document in a file and installs it.
 ///
 /// # Errors
 ///
--- a/entry/src/driver_handle.rs
+++ b/entry/src/driver_handle.rs
@@ -18,7 +18,7 @@
 use crate::driver::Command;
 use crate::driver::DriverStatus;
 
-/// Sends events to the driver; clones share one bounded queue.
+/// Sends commands to the driver; clones share one bounded queue.
 #[derive(Clone)]
 pub(crate) struct DriverHandle {
     commands: Sender<Command>,
@@ -45,7 +45,7 @@
 }
 
 impl DriverHandle {
-    /// Creates a handle and the receiver for the driver, which queues at most `waiting_events`.
+    /// Creates a handle and the driver's receiver, with a queue of at most `waiting_events` commands.
     pub(crate) fn new(waiting_events: usize) -> (Self, Receiver<Command>) {
         let (commands, receiver) = async_channel::bounded(waiting_events);
         let handle = DriverHandle {
--- a/entry/src/guarded_transport.rs
+++ b/entry/src/guarded_transport.rs
@@ -39,6 +39,8 @@
 }
 
 /// A connection that fails when it is idle too long or receives too many bytes before an answer.
+///
+/// Neither limit applies to HTTP/2 connections.
 pub(crate) struct GuardedTransport {
     inner: Box<dyn Transport>,
     _open: OpenConnection,
--- a/entry/src/job_address.rs
+++ b/entry/src/job_address.rs
@@ -26,8 +26,12 @@
         .verify(token)
         .map_err(|error| Refusal::field("session", error.to_string()))?;
     let number = conn.param("number").unwrap_or_default();
-    let number = parse_digits(number)
-        .ok_or_else(|| Refusal::field("number", "must be a whole number of 64 bits"))?;
+    let number = parse_digits(number).ok_or_else(|| {
+        Refusal::field(
+            "number",
+            "must be a whole number, 0 to 18446744073709551615",
+        )
+    })?;
     Ok(JobAddress::Session { session, number })
 }
 
--- a/entry/src/metrics.rs
+++ b/entry/src/metrics.rs
@@ -68,7 +68,7 @@
         Ok(Metrics(Arc::new(Inner {
             answers: counters(
                 "almondhead_answers_total",
-                "Answers to callers by outcome and reason.",
+                "Answers to callers by outcome.",
                 "outcome",
             )?,
             attempts: counters(
@@ -83,25 +83,28 @@
             )?,
             messages: counters(
                 "almondhead_messages_total",
-                "Messages that the decisions of this instance caused.",
+                "Messages caused by decisions of this instance, by kind.",
                 "kind",
             )?,
             peer_messages: counters(
                 "almondhead_peer_messages_total",
-                "Messages of the transport between entry instances.",
+                "Messages between entry instances by their end.",
                 "end",
             )?,
             request_seconds,
-            revision: gauge("almondhead_document_revision", "Revision in force.")?,
+            revision: gauge(
+                "almondhead_document_revision",
+                "Revision of the installed document, 0 without one.",
+            )?,
             leaving: gauge("almondhead_leaving", "Whether the instance is stopping.")?,
             open_jobs: gauge("almondhead_open_jobs", "Jobs that are open.")?,
             queued_tasks: gauge("almondhead_queued_tasks", "Tasks that wait for a slot.")?,
-            running_attempts: gauge("almondhead_running_attempts", "Attempts that run.")?,
+            running_attempts: gauge("almondhead_running_attempts", "Attempts in progress.")?,
             ejected_upstreams: gauge(
                 "almondhead_ejected_upstreams",
-                "Upstreams out of use for failing.",
+                "Upstreams ejected because of failures.",
             )?,
-            siblings: gauge("almondhead_siblings", "Sibling entry instances known.")?,
+            siblings: gauge("almondhead_siblings", "Known sibling entry instances.")?,
             registry,
         })))
     }
--- a/entry/src/peer.rs
+++ b/entry/src/peer.rs
@@ -37,7 +37,7 @@
     /// No sibling has this name.
     #[display("send to {to}: unknown sibling")]
     UnknownSibling {
-        /// The name that messages were addressed to.
+        /// The name that the message was addressed to.
         to: Arc<str>,
     },
     /// There is no open connection to the sibling.
--- a/entry/src/peer_counters.rs
+++ b/entry/src/peer_counters.rs
@@ -39,7 +39,7 @@
         PeerCount::Invalid,
     ];
 
-    /// Returns its value of the metric's label.
+    /// Returns the value of the metric's label `end` for this count.
     pub const fn label(self) -> &'static str {
         match self {
             PeerCount::Sent => "sent",
--- a/entry/src/peer_link.rs
+++ b/entry/src/peer_link.rs
@@ -46,8 +46,8 @@
     QueueFull,
 }
 
-#[derive(Debug)]
 /// The state shared between a link and the callbacks of its socket.
+#[derive(Debug)]
 struct Shared {
     socket: Socket,
     counters: Arc<PeerCounters>,
--- a/entry/src/run_handle.rs
+++ b/entry/src/run_handle.rs
@@ -13,7 +13,7 @@
 use crate::run_driver::RunCommand;
 use crate::run_driver::RunDriverStatus;
 
-/// Sends events to the driver; clones share one queue.
+/// Sends commands to the driver; clones share one queue.
 ///
 /// The queue is unbounded: the listener limits open requests, and the dispatcher open orders.
 #[derive(Clone)]
@@ -31,7 +31,7 @@
 }
 
 impl RunHandle {
-    /// Creates a handle and the receiver for the driver.
+    /// Creates a handle and the driver's receiver.
     pub(crate) fn new() -> (Self, Receiver<RunCommand>) {
         let (commands, receiver) = async_channel::unbounded();
         let handle = RunHandle {
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -70,14 +70,14 @@
         let state = IntGaugeVec::new(
             Opts::new(
                 "almondhead_run_state",
-                "What the dispatcher of leased runs has.",
+                "Versions, flags and counts of the dispatcher of leased runs.",
             ),
             &["what"],
         )?;
         let refusals = IntCounterVec::new(
             Opts::new(
                 "almondhead_run_refusals_total",
-                "Requests refused with nothing run, by reason.",
+                "Requests answered as not run, by reason.",
             ),
             &["reason"],
         )?;
--- a/entry/src/run_process.rs
+++ b/entry/src/run_process.rs
@@ -57,13 +57,14 @@
 const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(2_300);
 
 /// How long nothing must be open before a stopping process ends: callers on open connections may
-/// still send requests, and a load balancer notices only after two checks, one second apart.
+/// still send requests, and a load balancer notices the stop only after two checks, one second
+/// apart.
 const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
 /// Part of the stop grace that is reserved for shutting down the parts of the process.
 const SHUTDOWN_RESERVE: Duration = Duration::from_millis(800);
 
-/// How long a stopping process waits until its row in the roster is deleted.
+/// How long a stopping process waits until its row in the roster is removed.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Runs a process until it is asked to stop and nothing is open any more or its stop grace is over.
@@ -178,7 +179,7 @@
             }
             Timer::after(IDLE_POLL_INTERVAL).await;
         }
-        // Makes the roster session delete its row and report on `deregistered`.
+        // Makes the roster session remove its row and report on `deregistered`.
         self.leave.close();
         or(async { self.deregistered.recv().await.ok() }, async {
             Timer::after(DEREGISTER_TIMEOUT).await;
@@ -259,7 +260,7 @@
 }
 
 /// Sends heartbeats for this instance's row in the roster until the process leaves, announces the
-/// leave, and deletes the row once `leaving` is closed.
+/// leave, and removes the row once `leaving` is closed.
 async fn keep_registered(
     mut session: RosterSession,
     sink: EventSink,
@@ -304,7 +305,7 @@
         }
     }
     if let Err(error) = session.deregister().await {
-        tracing::warn!(%error, "row in the roster not deleted");
+        tracing::warn!(%error, "row not removed from the roster");
     }
     deregistered.send(()).await.ok();
 }
--- a/entry/src/stopping.rs
+++ b/entry/src/stopping.rs
@@ -1,4 +1,4 @@
-//! The flag that the process was asked to stop.
+//! Whether the process has been asked to stop.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
--- a/entry/src/upstream_client.rs
+++ b/entry/src/upstream_client.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// Returns the path that stops tasks: `stop`, as sibling of the path that runs a task.
+/// Returns the path that stops tasks: `stop` in place of the last segment of `run_path`.
 fn stop_path(run_path: &str) -> String {
     let parent = run_path.rsplit_once('/').map_or("", |(parent, _)| parent);
     format!("{parent}/stop")
