--- a/lib/testsupport/src/run_site/node.rs
+++ b/lib/testsupport/src/run_site/node.rs
@@ -16,7 +16,7 @@
 use super::job::run_queue;
 
 /// Decodes the stored form of a simulated site's intended state: its version, then the names of its
-/// queues, separated by blanks.
+/// queues, separated by spaces.
 #[derive(Debug)]
 pub(super) struct QueueNamesDecoder;
 
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -42,7 +42,7 @@
 use super::upstream::UpstreamFault;
 use super::upstream::WaitingRenew;
 
-/// The size of a simulated site.
+/// The size, the queues and the random seed of a simulated site.
 #[derive(Clone, Debug)]
 pub struct SitePlan {
     /// The number of data centres.
@@ -204,8 +204,8 @@
 /// How long after the start of a process its connections to and from other instances are
 /// established.
 const CONNECT_DELAY: Duration = Duration::from_millis(20);
-/// How often an instance reads the roster and the list of upstreams; the same as in the real
-/// process.
+/// How often an instance reads the roster and the list of upstreams. The real process reads the
+/// roster at this interval, and the list every 500 ms.
 const STORE_READ_INTERVAL: Duration = Duration::from_millis(550);
 
 impl RunSite {
@@ -367,7 +367,7 @@
         self.write_heartbeat(node);
     }
 
-    /// Freezes an instance; events for it, but for ticks, are kept until it is thawed.
+    /// Freezes an instance; events for it, except ticks, are kept until it is thawed.
     pub fn freeze(&mut self, node: usize) {
         self.nodes[node].is_frozen = true;
     }
