--- a/entry/src/decision_metrics.rs
+++ b/entry/src/decision_metrics.rs
@@ -23,12 +23,12 @@
         };
         let given_up = counters(
             "almondhead_jobs_given_up_total",
-            "Jobs given up after one of their tasks may have run, by reason.",
+            "Jobs given up after something of them may have run, by reason.",
             "reason",
         )?;
         let retried = counters(
             "almondhead_tasks_started_over_total",
-            "Retries of tasks, by reason.",
+            "Tasks that start over after a run of them, by reason.",
             "reason",
         )?;
         let found_ends = counters(
@@ -38,7 +38,7 @@
         )?;
         let orphaned = IntCounter::new(
             "almondhead_runs_adrift_total",
-            "Runs that may continue while no reachable owner reports them.",
+            "Runs that may go on while no owner in reach answers for them.",
         )?;
         registry.register(Box::new(orphaned.clone()))?;
         Ok(DecisionMetrics {
--- a/entry/src/main.rs
+++ b/entry/src/main.rs
@@ -28,7 +28,7 @@
         .version(clap::crate_version!())
         .about("Runs one almondhead entry instance")
         .after_help(
-            "Exit codes: 0 stopped as asked or settings are valid, \
+            "Exit codes: 0 stopped as asked or settings are right, \
              1 could not start, 2 wrong arguments or settings.",
         )
         .arg(
@@ -43,7 +43,7 @@
             Arg::new("check-settings")
                 .long("check-settings")
                 .value_name("FILE")
-                .help("Check the settings of FILE, print every problem and exit")
+                .help("Check the settings of FILE, print every fault and exit")
                 .value_parser(value_parser!(PathBuf))
                 .conflicts_with("settings"),
         )
@@ -52,7 +52,7 @@
 fn check(file: &Path) -> ExitCode {
     match Settings::load(file) {
         Ok(_) => {
-            println!("{}: settings are valid", file.display());
+            println!("{}: settings are right", file.display());
             ExitCode::SUCCESS
         }
         Err(error) => {
--- a/entry/src/metrics.rs
+++ b/entry/src/metrics.rs
@@ -68,7 +68,7 @@
         Ok(Metrics(Arc::new(Inner {
             answers: counters(
                 "almondhead_answers_total",
-                "Answers to callers by outcome.",
+                "Answers to callers by outcome and reason.",
                 "outcome",
             )?,
             attempts: counters(
@@ -83,28 +83,25 @@
             )?,
             messages: counters(
                 "almondhead_messages_total",
-                "Messages caused by decisions of this instance, by kind.",
+                "Messages that the decisions of this instance caused.",
                 "kind",
             )?,
             peer_messages: counters(
                 "almondhead_peer_messages_total",
-                "Messages between entry instances by their end.",
+                "Messages of the transport between entry instances.",
                 "end",
             )?,
             request_seconds,
-            revision: gauge(
-                "almondhead_document_revision",
-                "Revision of the installed document, 0 without one.",
-            )?,
+            revision: gauge("almondhead_document_revision", "Revision in force.")?,
             leaving: gauge("almondhead_leaving", "Whether the instance is stopping.")?,
             open_jobs: gauge("almondhead_open_jobs", "Jobs that are open.")?,
             queued_tasks: gauge("almondhead_queued_tasks", "Tasks that wait for a slot.")?,
-            running_attempts: gauge("almondhead_running_attempts", "Attempts in progress.")?,
+            running_attempts: gauge("almondhead_running_attempts", "Attempts that run.")?,
             ejected_upstreams: gauge(
                 "almondhead_ejected_upstreams",
-                "Upstreams ejected because of failures.",
+                "Upstreams out of use for failing.",
             )?,
-            siblings: gauge("almondhead_siblings", "Known sibling entry instances.")?,
+            siblings: gauge("almondhead_siblings", "Sibling entry instances known.")?,
             registry,
         })))
     }
--- a/entry/src/run_metrics.rs
+++ b/entry/src/run_metrics.rs
@@ -70,14 +70,14 @@
         let state = IntGaugeVec::new(
             Opts::new(
                 "almondhead_run_state",
-                "Versions, flags and counts of the dispatcher of leased runs.",
+                "What the dispatcher of leased runs has.",
             ),
             &["what"],
         )?;
         let refusals = IntCounterVec::new(
             Opts::new(
                 "almondhead_run_refusals_total",
-                "Requests answered as not run, by reason.",
+                "Requests refused with nothing run, by reason.",
             ),
             &["reason"],
         )?;
