--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -197,7 +197,7 @@
     fn from(demand: StepDemand) -> Self {
         proto::StepDemand {
             step: demand.step,
-            room: Some(demand.demand.into()),
+            room: Some(demand.resources.into()),
             expected_run_us: to_us(demand.expected_run_time),
             declared_run_us: to_us(demand.declared_run_time),
             required_label: demand.required_label.map(|label| label.to_string()),
@@ -213,7 +213,7 @@
     fn try_from(demand: proto::StepDemand) -> Result<Self, DecodeError> {
         Ok(StepDemand {
             step: demand.step,
-            demand: required("run_batch.demands.room", demand.room)?.into(),
+            resources: required("run_batch.demands.room", demand.room)?.into(),
             expected_run_time: Duration::from_micros(demand.expected_run_us),
             declared_run_time: Duration::from_micros(demand.declared_run_us),
             required_label: optional_name("run_batch.demands.label", demand.required_label)?,
--- a/lib/src/peer_codec/run_load.rs
+++ b/lib/src/peer_codec/run_load.rs
@@ -106,7 +106,7 @@
 impl From<FreeUpstream> for proto::FreeUpstream {
     fn from(free: FreeUpstream) -> Self {
         proto::FreeUpstream {
-            room: Some(free.free.into()),
+            room: Some(free.free_resources.into()),
             slowness_percent: free.slowness_percent,
             name: free.name_hash,
         }
@@ -118,7 +118,7 @@
 
     fn try_from(free: proto::FreeUpstream) -> Result<Self, DecodeError> {
         Ok(FreeUpstream {
-            free: required("digest.services.free.room", free.room)?.into(),
+            free_resources: required("digest.services.free.room", free.room)?.into(),
             slowness_percent: free.slowness_percent,
             name_hash: free.name,
         })
--- a/lib/src/runs/admitting.rs
+++ b/lib/src/runs/admitting.rs
@@ -83,7 +83,7 @@
         }
         let is_impossible = spec.steps.iter().any(|step| {
             let label = step.required_label.as_deref();
-            !self.listing.can_ever_run(service, step.demand, label)
+            !self.listing.can_ever_run(service, step.resources, label)
         });
         is_impossible.then(|| not_run(NotRun::NeedsNoUpstreamHas, None))
     }
@@ -111,7 +111,7 @@
             };
             if let Some(choice) = choose_owner(
                 views,
-                step.demand,
+                step.resources,
                 &placement_request,
                 &[],
                 &mut constraints,
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -176,7 +176,7 @@
     pub(crate) fn core_ms(&self, task: TaskIndex) -> u64 {
         let step_demand = self.step_demand(task);
         core_ms(
-            step_demand.demand.cpu_millicores,
+            step_demand.resources.cpu_millicores,
             self.expected_run_time(task),
         )
     }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -1081,7 +1081,7 @@
     let expected = job.expected_run_times.first().copied().unwrap_or_default();
     tracing::info!(
         job = %job.id, queue = %job.queue.name, steps = job.spec.steps.len(), tasks = job.tasks.len(),
-        cpu_millicores = step.map_or(0, |step| step.demand.cpu_millicores),
+        cpu_millicores = step.map_or(0, |step| step.resources.cpu_millicores),
         declared_ms = whole_ms(declared), expected_ms = whole_ms(expected),
         objective_ms = whole_ms(job.objective_at.since(now)),
         limit_ms = whole_ms(job.deadline.since(now)),
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -190,7 +190,7 @@
             let spec = &self.spec.steps[step as usize];
             StepDemand {
                 step,
-                demand: spec.demand,
+                resources: spec.resources,
                 expected_run_time: self.expected_run_times[step as usize],
                 declared_run_time: spec.declared_run_time,
                 required_label: spec.required_label.clone(),
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -34,7 +34,7 @@
     /// The number of its tasks.
     pub tasks: u32,
     /// The resources that each task needs.
-    pub demand: Resources,
+    pub resources: Resources,
     /// The caller's estimate of the run time of one task, zero if it has none.
     pub declared_run_time: Duration,
     /// The earlier steps, by number from zero, whose tasks must all be done first.
--- a/lib/src/runs/leased_run.rs
+++ b/lib/src/runs/leased_run.rs
@@ -38,7 +38,7 @@
     /// The home and the number of its batch, once that was dropped.
     pub(crate) dropped_batch: Option<(Incarnation, u64)>,
     /// The capacity that it takes up.
-    pub(crate) demand: Resources,
+    pub(crate) resources: Resources,
     pub(crate) phase: RunPhase,
     pub(crate) ordered_at: Timestamp,
     /// How long it is expected to run on this upstream.
@@ -101,14 +101,14 @@
 impl LeasedRun {
     pub(crate) fn starting(
         task: (HeldBatchKey, TaskIndex),
-        demand: Resources,
+        resources: Resources,
         expected_run_time: Duration,
         now: Timestamp,
     ) -> Self {
         LeasedRun {
             task: Some(task),
             dropped_batch: None,
-            demand,
+            resources,
             phase: RunPhase::Starting,
             ordered_at: now,
             expected_run_time,
--- a/lib/src/runs/leased_upstream.rs
+++ b/lib/src/runs/leased_upstream.rs
@@ -120,7 +120,7 @@
     pub(crate) fn free(&self) -> Resources {
         let mut used = Resources::default();
         for run in self.runs.values() {
-            used += run.demand;
+            used += run.resources;
         }
         self.listed.capacity.minus(used)
     }
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -384,7 +384,7 @@
         let batch = &mut self.batches[batch_key];
         let run = batch.run(task);
         let (demand, expected_run_time) = (
-            batch.step_demand(task).demand,
+            batch.step_demand(task).resources,
             batch.expected_run_time(task),
         );
         let Some(upstream_key) = self.by_id.get(id).copied() else {
@@ -412,7 +412,7 @@
             let label = step_demand.required_label.as_deref();
             upstream.is_usable()
                 && upstream.listed.service == batch.service
-                && step_demand.demand.fits(upstream.listed.capacity)
+                && step_demand.resources.fits(upstream.listed.capacity)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
         })
     }
@@ -671,7 +671,7 @@
             let free = upstream.free();
             let label = step_demand.required_label.as_deref();
             let is_candidate = upstream.listed.service == batch.service
-                && step_demand.demand.fits(free)
+                && step_demand.resources.fits(free)
                 && label.is_none_or(|label| upstream.listed.has_label(label))
                 && upstream.can_take_work(now)
                 && self.is_within_limit(upstream_key, batch_key, task);
@@ -684,7 +684,7 @@
                 avoided: avoid.contains(&upstream.listed.id),
                 far_from_data: rack.is_some_and(|rack| !upstream.listed.has_label(rack)),
                 slowness_percent: upstream.speed.slowness_percent(),
-                left_millicores: free.minus(step_demand.demand).cpu_millicores,
+                left_millicores: free.minus(step_demand.resources).cpu_millicores,
                 distance: 0,
             });
         }
@@ -720,7 +720,7 @@
         let batch = &mut self.batches[batch_key];
         let run = batch.run(task);
         let step_demand = batch.step_demand(task);
-        let (demand, expected) = (step_demand.demand, batch.expected_run_time(task));
+        let (demand, expected) = (step_demand.resources, batch.expected_run_time(task));
         let spec = batch.spec.clone();
         let waited_ms = whole_ms(now.since(batch.accepted_at));
         batch.tasks[task].state = HeldState::Running(upstream_key);
@@ -891,7 +891,7 @@
             if upstream.can_take_work(now) {
                 load.free.push(FreeUpstream {
                     name_hash: name_hash(&upstream.listed.id),
-                    free: upstream.free(),
+                    free_resources: upstream.free(),
                     slowness_percent: upstream.speed.slowness_percent(),
                 });
             }
--- a/lib/src/runs/owner_choice.rs
+++ b/lib/src/runs/owner_choice.rs
@@ -92,7 +92,7 @@
 ) -> Option<OwnerChoice> {
     if let Some((view, upstream)) = find_free_upstream(views, demand, task, avoid, constraints) {
         constraints.count_task(views[view].owner);
-        views[view].free[upstream].free -= demand;
+        views[view].free[upstream].free_resources -= demand;
         let wait = Duration::ZERO;
         return Some(OwnerChoice {
             view,
@@ -134,7 +134,7 @@
     let indexed = views.iter().enumerate();
     for (index, view) in indexed.filter(|(_, view)| constraints.has_remaining(view.owner)) {
         for (position, upstream) in view.free.iter().enumerate() {
-            if !demand.fits(upstream.free) || !constraints.allows(upstream.name_hash) {
+            if !demand.fits(upstream.free_resources) || !constraints.allows(upstream.name_hash) {
                 continue;
             }
             positions.push((index, position));
@@ -142,7 +142,7 @@
                 avoided: avoid.contains(&upstream.name_hash),
                 far_from_data: constraints.is_far_from_data(upstream.name_hash),
                 slowness_percent: upstream.slowness_percent,
-                left_millicores: upstream.free.minus(demand).cpu_millicores,
+                left_millicores: upstream.free_resources.minus(demand).cpu_millicores,
                 distance: view.distance as u32,
             });
         }
--- a/lib/src/runs/placing.rs
+++ b/lib/src/runs/placing.rs
@@ -125,7 +125,7 @@
             continue;
         }
         let step = task.step as usize;
-        let demand = job.spec.steps[step].demand;
+        let demand = job.spec.steps[step].resources;
         let placement_request = job.placement_request(now, index);
         if let Some(choice) = choose_owner(
             views,
--- a/lib/src/runs/run_digest.rs
+++ b/lib/src/runs/run_digest.rs
@@ -43,7 +43,7 @@
     /// The hash of its name, [`name_hash`].
     pub name_hash: u32,
     /// The capacity that no run uses.
-    pub free: Resources,
+    pub free_resources: Resources,
     /// The ratio of measured to expected run times there, in percent.
     pub slowness_percent: u32,
 }
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -800,7 +800,7 @@
 /// The free processor of a load in thousandths of a core, and whether tasks are queued.
 fn load_summary(digest: &RunDigest) -> (u32, bool) {
     let free = digest.services.iter().flat_map(|load| &load.free);
-    let free = free.map(|upstream| upstream.free.cpu_millicores);
+    let free = free.map(|upstream| upstream.free_resources.cpu_millicores);
     let has_queue = digest.services.iter().any(|load| load.queued_tasks > 0);
     (free.fold(0, u32::saturating_add), has_queue)
 }
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -125,7 +125,7 @@
     /// The step.
     pub step: u32,
     /// The resources that one task uses.
-    pub demand: Resources,
+    pub resources: Resources,
     /// The expected run time of one task.
     pub expected_run_time: Duration,
     /// The run time of one task that the caller declared; zero when it declared none.
--- a/lib/src/runs/step_constraints.rs
+++ b/lib/src/runs/step_constraints.rs
@@ -45,7 +45,7 @@
                 continue;
             }
             labelled.insert(name_hash(&upstream.id));
-            let can_take = !upstream.draining && step.demand.fits(upstream.capacity);
+            let can_take = !upstream.draining && step.resources.fits(upstream.capacity);
             if let Some(owner) = owner.filter(|_| can_take) {
                 let remaining = remaining.entry(owner).or_default();
                 *remaining = remaining.saturating_add(max_tasks);
--- a/lib/testsupport/src/run_site/job.rs
+++ b/lib/testsupport/src/run_site/job.rs
@@ -32,7 +32,7 @@
         spec: Arc::from("spec"),
         steps: vec![StepSpec {
             tasks,
-            demand: Resources {
+            resources: Resources {
                 cpu_millicores,
                 memory_mb: 64,
                 accelerators: 0,
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -913,7 +913,7 @@
         };
         let request = StartRequest {
             run,
-            demand: job.steps[run.task.step as usize].demand,
+            resources: job.steps[run.task.step as usize].resources,
             work,
             lease_until_ms,
             fence,
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -32,7 +32,7 @@
 /// A run on an upstream.
 #[derive(Clone, Debug)]
 pub(super) struct SimRun {
-    pub(super) demand: Resources,
+    pub(super) resources: Resources,
     pub(super) started_at: Timestamp,
     pub(super) ends_at: Timestamp,
     pub(super) fails: bool,
@@ -80,7 +80,7 @@
 /// The parameters of a start order, with the task's run time.
 pub(super) struct StartRequest {
     pub(super) run: RunId,
-    pub(super) demand: Resources,
+    pub(super) resources: Resources,
     /// The run time at speed 1.
     pub(super) work: Duration,
     /// The end of the lease on the upstream's clock.
@@ -154,7 +154,7 @@
         if newest.is_some_and(|newest| *newest >= request.run.run) {
             return Err(OrderRefusal::OldRun);
         }
-        if !request.demand.fits(self.free()) {
+        if !request.resources.fits(self.free()) {
             return Err(OrderRefusal::NoCapacity);
         }
         self.starts += 1;
@@ -168,7 +168,7 @@
             false => request.work.mul_f64(factor / self.speed),
         };
         let run = SimRun {
-            demand: request.demand,
+            resources: request.resources,
             started_at: now,
             ends_at: now + run_time,
             fails,
@@ -181,7 +181,7 @@
     fn free(&self) -> Resources {
         let mut used = Resources::default();
         for run in self.runs.values() {
-            used += run.demand;
+            used += run.resources;
         }
         self.listed.capacity.minus(used)
     }
