--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -18,6 +18,7 @@
 use crate::runs::run_id::JobId;
 use crate::runs::run_id::RunId;
 use crate::runs::run_id::TaskName;
+use crate::runs::run_message::EndedRun;
 use crate::runs::run_message::FoundEnd;
 use crate::runs::run_message::NotStarted;
 use crate::runs::run_message::PeerReport;
@@ -27,7 +28,6 @@
 use crate::runs::run_message::RunEnds;
 use crate::runs::run_message::RunMessage;
 use crate::runs::run_message::StepDemand;
-use crate::runs::run_message::TaskEnd;
 use crate::runs::run_message::TimedRunMessage;
 use crate::time::Timestamp;
 
@@ -302,8 +302,8 @@
     }
 }
 
-impl From<TaskEnd> for proto::RunEnd {
-    fn from(end: TaskEnd) -> Self {
+impl From<EndedRun> for proto::RunEnd {
+    fn from(end: EndedRun) -> Self {
         let how = match end.end {
             RunEnd::Done { work } => End::DoneWorkUs(to_us(work)),
             RunEnd::Failed { upstream } => End::FailedOn(upstream.to_string()),
@@ -326,7 +326,7 @@
     }
 }
 
-impl TryFrom<proto::RunEnd> for TaskEnd {
+impl TryFrom<proto::RunEnd> for EndedRun {
     type Error = DecodeError;
 
     fn try_from(end: proto::RunEnd) -> Result<Self, DecodeError> {
@@ -349,7 +349,7 @@
                 upstream: name("ends.too_slow.upstream", too_slow.upstream)?,
             },
         };
-        Ok(TaskEnd {
+        Ok(EndedRun {
             run: required("ends.run", end.run)?.try_into()?,
             end: how,
         })
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -7,10 +7,10 @@
 use super::run_id::LeasedUpstreamKey;
 use super::run_id::RunId;
 use super::run_id::TaskName;
+use super::run_message::EndedRun;
 use super::run_message::PlacedTask;
 use super::run_message::RunBatch;
 use super::run_message::StepDemand;
-use super::run_message::TaskEnd;
 use super::upstream_choice::PlacementRequest;
 use super::whole_ms::whole_ms;
 use crate::id::Incarnation;
@@ -43,7 +43,7 @@
     /// Whether a task of the job runs or has run, as known here so far.
     pub(crate) has_begun: bool,
     /// Ends that the home was not notified of yet.
-    pub(crate) unreported: Vec<TaskEnd>,
+    pub(crate) unreported: Vec<EndedRun>,
     pub(crate) done_runs: Vec<DoneRun>,
 }
 
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -25,11 +25,11 @@
 use super::run_id::HomeJobKey;
 use super::run_id::JobId;
 use super::run_id::RunId;
+use super::run_message::EndedRun;
 use super::run_message::FoundEnd;
 use super::run_message::NotStarted;
 use super::run_message::RunBatch;
 use super::run_message::RunEnd;
-use super::run_message::TaskEnd;
 use super::whole_ms::whole_ms;
 use crate::id::RequestId;
 use crate::run_estimate::RunEstimate;
@@ -270,9 +270,9 @@
         now: Timestamp,
         owner: OwnerRef,
         batch: u64,
-        ends: Vec<TaskEnd>,
+        ends: Vec<EndedRun>,
     ) {
-        for TaskEnd { run, end } in ends {
+        for EndedRun { run, end } in ends {
             let Some(key) = self.by_id.get(&run.task.job).copied() else {
                 continue;
             };
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -30,11 +30,11 @@
 use super::run_id::LeasedUpstreamKey;
 use super::run_id::OrderId;
 use super::run_id::RunId;
+use super::run_message::EndedRun;
 use super::run_message::FoundEnd;
 use super::run_message::NotStarted;
 use super::run_message::RunBatch;
 use super::run_message::RunEnd;
-use super::run_message::TaskEnd;
 use super::run_order::AddressedOrder;
 use super::run_order::RunOrder;
 use super::run_order::RunOutcome;
@@ -85,7 +85,7 @@
     Ends {
         home: Incarnation,
         batch: u64,
-        ends: Vec<TaskEnd>,
+        ends: Vec<EndedRun>,
     },
     /// An upstream lists runs that this instance did not start, for all homes.
     Found {
@@ -535,7 +535,7 @@
         batch.open_tasks -= 1;
         let is_urgent = batch.open_tasks == 0 || !matches!(end, RunEnd::Done { .. });
         let run = batch.run(task);
-        batch.unreported.push(TaskEnd { run, end });
+        batch.unreported.push(EndedRun { run, end });
         if is_urgent {
             self.notices.push(OwnerNotice::Ends {
                 home: batch.home,
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -159,14 +159,14 @@
     /// The batch.
     pub batch: u64,
     /// The tasks that ended.
-    pub ends: Vec<TaskEnd>,
+    pub ends: Vec<EndedRun>,
     /// The sender's load.
     pub digest: RunDigest,
 }
 
 /// A run that ended, and how.
 #[value]
-pub struct TaskEnd {
+pub struct EndedRun {
     /// The run.
     pub run: RunId,
     /// How it ended.
