--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -228,7 +228,7 @@
         proto::PlacedTask {
             step: task.step,
             index: task.index,
-            run: task.run,
+            run: task.run_number,
             known_run_us: task.known_run_time.map(to_us),
             avoid: task.avoid.iter().map(ToString::to_string).collect(),
         }
@@ -245,7 +245,7 @@
         Ok(PlacedTask {
             step: task.step,
             index: task.index,
-            run: task.run,
+            run_number: task.run,
             known_run_time: task.known_run_us.map(Duration::from_micros),
             avoid: avoid.collect::<Result<_, _>>()?,
         })
@@ -259,7 +259,7 @@
             occurrence: run.task.occurrence,
             step: run.task.step,
             index: run.task.index,
-            run: run.run,
+            run: run.run_number,
         }
     }
 }
@@ -275,7 +275,7 @@
                 step: run.step,
                 index: run.index,
             },
-            run: run.run,
+            run_number: run.run,
         })
     }
 }
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -203,6 +203,6 @@
             step: placed.step,
             index: placed.index,
         },
-        run: placed.run,
+        run_number: placed.run_number,
     }
 }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -381,7 +381,7 @@
         match reason {
             NotStarted::TooLate => return self.begin_ending(now, key, NotRun::WaitedTooLong),
             NotStarted::Overdue => return self.set_overdue(now, key, task),
-            NotStarted::OldRun => job.tasks[task].run += 1,
+            NotStarted::OldRun => job.tasks[task].run_number += 1,
             NotStarted::Invalid => return self.end_job(now, key, JobEnd::Failed),
             _ => {}
         }
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -61,7 +61,10 @@
     /// The name of a task's current run.
     pub(crate) fn run(&self, task: usize) -> RunId {
         let HomeTask {
-            step, index, run, ..
+            step,
+            index,
+            run_number,
+            ..
         } = self.tasks[task];
         RunId {
             task: TaskName {
@@ -70,7 +73,7 @@
                 step,
                 index,
             },
-            run,
+            run_number,
         }
     }
 
@@ -78,7 +81,9 @@
     pub(crate) fn task_of(&self, run: RunId) -> Option<usize> {
         let mut tasks = self.tasks.iter();
         tasks.position(|task| {
-            task.step == run.task.step && task.index == run.task.index && task.run == run.run
+            task.step == run.task.step
+                && task.index == run.task.index
+                && task.run_number == run.run_number
         })
     }
 
@@ -203,7 +208,7 @@
             PlacedTask {
                 step: state.step,
                 index: state.index,
-                run: state.run,
+                run_number: state.run_number,
                 known_run_time: state.known_run_time,
                 avoid: state.avoid.clone(),
             }
--- a/lib/src/runs/home_task.rs
+++ b/lib/src/runs/home_task.rs
@@ -20,7 +20,7 @@
     pub(crate) step: u32,
     pub(crate) index: u32,
     /// The number of its current run, from one.
-    pub(crate) run: u32,
+    pub(crate) run_number: u32,
     pub(crate) failures: u32,
     /// Its run time on an upstream of usual speed, if its progress has shown it.
     pub(crate) known_run_time: Option<Duration>,
@@ -79,7 +79,7 @@
         HomeTask {
             step,
             index,
-            run: 1,
+            run_number: 1,
             failures: 0,
             known_run_time: None,
             suspected_run_time: None,
@@ -124,7 +124,7 @@
 
     /// Makes it wait for an owner again, with the next run number.
     pub(crate) fn retry(&mut self) {
-        self.run += 1;
+        self.run_number += 1;
         self.state = HomeState::Waiting;
         self.taken_over_on = None;
         self.unreachable_owner = None;
--- a/lib/src/runs/run_id.rs
+++ b/lib/src/runs/run_id.rs
@@ -63,12 +63,12 @@
     /// The task.
     pub task: TaskName,
     /// The number of the start, from one.
-    pub run: u32,
+    pub run_number: u32,
 }
 
 impl fmt::Display for RunId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}#{}", self.task, self.run)
+        write!(f, "{}#{}", self.task, self.run_number)
     }
 }
 
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -146,7 +146,7 @@
     /// Its index in the step.
     pub index: u32,
     /// The number of this start.
-    pub run: u32,
+    pub run_number: u32,
     /// Its run time on an upstream of usual speed, if the progress of earlier runs showed it.
     pub known_run_time: Option<Duration>,
     /// Upstreams on which earlier runs of it failed, were lost or were too slow.
--- a/lib/tests/message_names.rs
+++ b/lib/tests/message_names.rs
@@ -23,7 +23,7 @@
             step: 0,
             index: 1,
         },
-        run: 1,
+        run_number: 1,
     };
     let end = FoundEnd {
         run,
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -151,7 +151,7 @@
         }
         self.extend_lease(now, request.lease_until_ms);
         let newest = self.newest_ended.get(&request.run.task);
-        if newest.is_some_and(|newest| *newest >= request.run.run) {
+        if newest.is_some_and(|newest| *newest >= request.run.run_number) {
             return Err(OrderRefusal::OldRun);
         }
         if !request.resources.fits(self.free()) {
@@ -190,7 +190,7 @@
     pub(super) fn stop(&mut self, run: RunId, fence: u64) -> Result<(), OrderRefusal> {
         self.check_fence(fence)?;
         let newest = self.newest_ended.entry(run.task).or_default();
-        *newest = (*newest).max(run.run);
+        *newest = (*newest).max(run.run_number);
         if self.runs.contains_key(&run) {
             self.end(run, RunOutcome::Stopped);
         }
@@ -201,7 +201,7 @@
     pub(super) fn end(&mut self, run: RunId, how: RunOutcome) {
         self.runs.swap_remove(&run);
         let newest = self.newest_ended.entry(run.task).or_default();
-        *newest = (*newest).max(run.run);
+        *newest = (*newest).max(run.run_number);
         self.ended.push(EndedRow {
             number: self.next_end_number,
             run: Some(run),
