--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -275,7 +275,7 @@
         let tasks = rng.random_range(1..=2);
         let work_ms = rng.random_range(300..=1_600);
         let spec = JobSpec {
-            spec: Arc::from(work_ms.to_string()),
+            payload: Arc::from(work_ms.to_string()),
             ..run_job(tasks, 6_800, work_ms)
         };
         let extra_ms = 3 * (work_ms * 8 / 5 + 60);
--- a/entry/tests/run_decisions.rs
+++ b/entry/tests/run_decisions.rs
@@ -45,7 +45,7 @@
     smol::block_on(async {
         let site = ProcessSite::start(1, 2).await?;
         let job = JobSpec {
-            spec: Arc::from("5000"),
+            payload: Arc::from("5000"),
             ..run_job(1, 6_800, 60)
         };
         let answer = submit_job(&site, "0000000000000001", &job, 1_000).await?;
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -28,7 +28,7 @@
     pub(crate) job: JobId,
     pub(crate) service: Arc<str>,
     /// The job's text, sent with each start.
-    pub(crate) spec: Arc<str>,
+    pub(crate) payload: Arc<str>,
     /// The rank of the job's queue, zero first.
     pub(crate) priority: u32,
     /// When the job is to end, in microseconds on this instance's clock; negative before its zero.
@@ -95,7 +95,7 @@
             number: batch.number,
             job: batch.job,
             service: batch.service,
-            spec: batch.spec,
+            payload: batch.payload,
             priority: batch.priority,
             objective_at_us: now_us.saturating_add(batch.objective_left_us),
             deadline: now + batch.deadline_left,
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -217,7 +217,7 @@
             number,
             job: self.id,
             service: self.queue.service.clone(),
-            spec: self.spec.spec.clone(),
+            payload: self.spec.payload.clone(),
             priority: self.queue.priority,
             objective_left_us: signed_us(now, self.objective_at),
             deadline_left: self.deadline.since(now),
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -17,7 +17,7 @@
 #[value]
 pub struct JobSpec {
     /// Opaque text that is sent to the upstream with each start of a task.
-    pub spec: Arc<str>,
+    pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<StepSpec>,
     /// Whether the job must survive the loss of its home, so that its caller can ask for its state
--- a/lib/src/runs/owner.rs
+++ b/lib/src/runs/owner.rs
@@ -721,7 +721,7 @@
         let run = batch.run(task);
         let step_demand = batch.step_demand(task);
         let (demand, expected) = (step_demand.resources, batch.expected_run_time(task));
-        let spec = batch.spec.clone();
+        let payload = batch.payload.clone();
         let waited_ms = whole_ms(now.since(batch.accepted_at));
         batch.tasks[task].state = HeldState::Running(upstream_key);
         batch.has_begun = true;
@@ -748,7 +748,7 @@
         );
         let order = RunOrder::Start {
             run,
-            spec,
+            payload,
             lease_until_ms,
             fence,
         };
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -104,7 +104,7 @@
     /// The service.
     pub service: Arc<str>,
     /// The job's specification text, sent to the upstream with each start.
-    pub spec: Arc<str>,
+    pub payload: Arc<str>,
     /// The rank of the job's queue; zero comes first.
     pub priority: u32,
     /// The time until the job's objective in microseconds, negative once it has passed.
--- a/lib/src/runs/run_order.rs
+++ b/lib/src/runs/run_order.rs
@@ -27,7 +27,7 @@
         /// The run.
         run: RunId,
         /// The job's text, passed on to the task.
-        spec: Arc<str>,
+        payload: Arc<str>,
         /// When the lease ends on the upstream's clock, in milliseconds; without another order the
         /// upstream stops the run then.
         lease_until_ms: u64,
--- a/lib/testsupport/src/run_site/job.rs
+++ b/lib/testsupport/src/run_site/job.rs
@@ -29,7 +29,7 @@
 /// is submitted with another.
 pub fn run_job(tasks: u32, cpu_millicores: u32, run_ms: u64) -> JobSpec {
     JobSpec {
-        spec: Arc::from("spec"),
+        payload: Arc::from("spec"),
         steps: vec![StepSpec {
             tasks,
             resources: Resources {
