--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -132,7 +132,7 @@
             home: Home::default(),
             owner: Owner::new(limits.lease),
             peers: PeerTable::default(),
-            listing: UpstreamListing::new(limits.relisting_time),
+            listing: UpstreamListing::new(limits.relisting_grace),
             intended: None,
             intended_body: Bytes::new(),
             decoder,
--- a/lib/src/runs/run_settings.rs
+++ b/lib/src/runs/run_settings.rs
@@ -31,7 +31,7 @@
     pub default_timeout: Duration,
     /// How long it takes until live upstreams are listed again after an outage of the platform's
     /// store.
-    pub relisting_time: Duration,
+    pub relisting_grace: Duration,
     /// The maximum number of open jobs.
     pub max_open_jobs: usize,
 }
@@ -41,7 +41,7 @@
         RunLimits {
             lease: Duration::from_millis(1_000),
             default_timeout: Duration::from_millis(1_500),
-            relisting_time: Duration::from_millis(2_200),
+            relisting_grace: Duration::from_millis(2_200),
             max_open_jobs: 5_000,
         }
     }
