--- a/entry/src/claim_queue.rs
+++ b/entry/src/claim_queue.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use almondhead_lib::event::ClaimEnd;
+use almondhead_lib::event::ClaimOutcome;
 use almondhead_lib::event::Event;
 use almondhead_lib::event::PeerIdentity;
 use almondhead_lib::id::Incarnation;
@@ -64,7 +64,7 @@
 impl ClaimRow {
     /// Returns the incarnation that wrote the row and the number of its claim; none when the row is
     /// malformed.
-    fn decode(value: &[u8]) -> Option<ClaimEnd> {
+    fn decode(value: &[u8]) -> Option<ClaimOutcome> {
         let row = serde_json::from_slice::<ClaimRow>(value).ok()?;
         let incarnation = u64::from_str_radix(&row.incarnation, 16).ok()?;
         let home = PeerIdentity {
@@ -72,7 +72,7 @@
             incarnation: Incarnation(incarnation),
         };
         let claim = row.claim;
-        Some(ClaimEnd::AlreadyClaimed { home, claim })
+        Some(ClaimOutcome::AlreadyClaimed { home, claim })
     }
 }
 
@@ -127,7 +127,7 @@
     pub(crate) async fn run(mut self) {
         while let Ok(first) = self.requests.recv().await {
             if self.clock.now() < self.refuse_until {
-                self.report(&first, ClaimEnd::Unavailable).await;
+                self.report(&first, ClaimOutcome::Unavailable).await;
                 continue;
             }
             TimerService::new(self.clock)
@@ -157,7 +157,7 @@
                 tracing::warn!(%error, claims = group.len(), "claims not written");
                 self.refuse_until = self.clock.now() + PAUSE_AFTER_FAILURE;
                 for request in &group {
-                    self.report(request, ClaimEnd::Unavailable).await;
+                    self.report(request, ClaimOutcome::Unavailable).await;
                 }
             }
         }
@@ -177,36 +177,36 @@
         }
     }
 
-    async fn report(&self, request: &ClaimRequest, end: ClaimEnd) {
+    async fn report(&self, request: &ClaimRequest, end: ClaimOutcome) {
         self.metrics.count_claim(match end {
-            ClaimEnd::Acquired => "ours",
-            ClaimEnd::AlreadyClaimed { .. } => "theirs",
-            ClaimEnd::Unclaimed | ClaimEnd::Unavailable => "unavailable",
+            ClaimOutcome::Acquired => "ours",
+            ClaimOutcome::AlreadyClaimed { .. } => "theirs",
+            ClaimOutcome::Unclaimed | ClaimOutcome::Unavailable => "unavailable",
         });
         let claim = request.claim;
         self.driver.send(Event::ClaimEnded { claim, end }).await;
     }
 }
 
-fn claim_end(result: InsertResult) -> ClaimEnd {
+fn claim_end(result: InsertResult) -> ClaimOutcome {
     match result {
-        InsertResult::Inserted => ClaimEnd::Acquired,
+        InsertResult::Inserted => ClaimOutcome::Acquired,
         InsertResult::Present(row) => row_end(&row.value),
     }
 }
 
-fn row_end(value: &[u8]) -> ClaimEnd {
-    ClaimRow::decode(value).unwrap_or(ClaimEnd::Unavailable)
+fn row_end(value: &[u8]) -> ClaimOutcome {
+    ClaimRow::decode(value).unwrap_or(ClaimOutcome::Unavailable)
 }
 
 /// Reads from the table which incarnation has claimed a key.
-pub(crate) async fn find_home(platform: &dyn Platform, key: &ClaimKey) -> ClaimEnd {
+pub(crate) async fn find_home(platform: &dyn Platform, key: &ClaimKey) -> ClaimOutcome {
     match platform.read(CLAIMS_TABLE, &key.0).await {
         Ok(Some(row)) => row_end(&row.value),
-        Ok(None) => ClaimEnd::Unclaimed,
+        Ok(None) => ClaimOutcome::Unclaimed,
         Err(error) => {
             tracing::debug!(%error, "claim not read");
-            ClaimEnd::Unavailable
+            ClaimOutcome::Unavailable
         }
     }
 }
--- a/entry/src/effects.rs
+++ b/entry/src/effects.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use almondhead_lib::action::Attempt;
-use almondhead_lib::event::ClaimEnd;
+use almondhead_lib::event::ClaimOutcome;
 use almondhead_lib::event::Event;
 use almondhead_lib::id::TaskId;
 use almondhead_lib::peer_message::PeerMessage;
@@ -58,7 +58,7 @@
         }
         let driver = self.driver.clone();
         executor::spawn(async move {
-            let end = ClaimEnd::Unavailable;
+            let end = ClaimOutcome::Unavailable;
             driver.send(Event::ClaimEnded { claim, end }).await;
         });
     }
--- a/lib/src/claiming.rs
+++ b/lib/src/claiming.rs
@@ -4,7 +4,7 @@
 
 use crate::action::Action;
 use crate::dispatcher::Dispatcher;
-use crate::event::ClaimEnd;
+use crate::event::ClaimOutcome;
 use crate::event::PeerIdentity;
 use crate::id::JobAddress;
 use crate::job::JobOrigin;
@@ -66,7 +66,7 @@
     }
 
     /// Handles the table's answer to a claim or a read.
-    pub(crate) fn on_claim_ended(&mut self, claim: u64, end: ClaimEnd) {
+    pub(crate) fn on_claim_ended(&mut self, claim: u64, end: ClaimOutcome) {
         match self.claims.swap_remove(&claim) {
             Some(PendingClaim::Job(job)) => self.end_job_claim(job, end),
             Some(PendingClaim::FindHome {
@@ -78,7 +78,7 @@
         }
     }
 
-    fn end_job_claim(&mut self, key: JobKey, end: ClaimEnd) {
+    fn end_job_claim(&mut self, key: JobKey, end: ClaimOutcome) {
         let Some(job) = self.jobs.get_mut(key) else {
             return;
         };
@@ -86,12 +86,14 @@
             return;
         }
         match end {
-            ClaimEnd::Acquired => {
+            ClaimOutcome::Acquired => {
                 job.stage = JobStage::Open;
                 self.enqueue(key);
             }
-            ClaimEnd::AlreadyClaimed { home, claim } => self.on_already_claimed(key, &home, claim),
-            ClaimEnd::Unclaimed | ClaimEnd::Unavailable => {
+            ClaimOutcome::AlreadyClaimed { home, claim } => {
+                self.on_already_claimed(key, &home, claim);
+            }
+            ClaimOutcome::Unclaimed | ClaimOutcome::Unavailable => {
                 self.end_job(
                     key,
                     JobAnswer::NotRun {
@@ -182,19 +184,21 @@
         waiter: Waiter,
         address: &JobAddress,
         request: ForwardedRequest,
-        end: ClaimEnd,
+        end: ClaimOutcome,
     ) {
         match end {
-            ClaimEnd::AlreadyClaimed { home, .. }
+            ClaimOutcome::AlreadyClaimed { home, .. }
                 if home.incarnation != self.config.incarnation =>
             {
                 self.forward(waiter, home.instance, home.incarnation, address, request);
             }
-            ClaimEnd::AlreadyClaimed { .. } | ClaimEnd::Acquired => {
+            ClaimOutcome::AlreadyClaimed { .. } | ClaimOutcome::Acquired => {
                 self.answer_failed(waiter, FailReason::AnswerExpired, None);
             }
-            ClaimEnd::Unclaimed => self.answer_not_run(waiter, NotRunReason::NotSubmitted, None),
-            ClaimEnd::Unavailable => {
+            ClaimOutcome::Unclaimed => {
+                self.answer_not_run(waiter, NotRunReason::NotSubmitted, None);
+            }
+            ClaimOutcome::Unavailable => {
                 let retry_after = Some(DEFAULT_RETRY_AFTER);
                 self.answer_failed(waiter, FailReason::HomeUnreachable, retry_after);
             }
--- a/lib/src/event.rs
+++ b/lib/src/event.rs
@@ -58,7 +58,7 @@
         /// The claim's number.
         claim: u64,
         /// The answer.
-        end: ClaimEnd,
+        end: ClaimOutcome,
     },
     /// An authenticated message from another entry instance arrived.
     PeerMessage {
@@ -108,7 +108,7 @@
 
 /// The result of a claim or a read of an idempotency key.
 #[value]
-pub enum ClaimEnd {
+pub enum ClaimOutcome {
     /// The key is claimed for this incarnation; the job may start.
     Acquired,
     /// The key was claimed before by the incarnation that is the job's home.
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -11,7 +11,7 @@
 use almondhead_lib::dispatcher::DispatcherConfig;
 use almondhead_lib::dispatcher::DispatcherLimits;
 use almondhead_lib::document::Document;
-use almondhead_lib::event::ClaimEnd;
+use almondhead_lib::event::ClaimOutcome;
 use almondhead_lib::event::Event;
 use almondhead_lib::event::PeerIdentity;
 use almondhead_lib::id::Incarnation;
@@ -392,10 +392,10 @@
                 .insert(open.key.clone(), (identity.clone(), claim));
         }
         let answer = match (end, row) {
-            (TableEnd::ApplyAndLose | TableEnd::Unavailable, _) => ClaimEnd::Unavailable,
-            (TableEnd::Answer, Some((home, claim))) => ClaimEnd::AlreadyClaimed { home, claim },
-            (TableEnd::Answer, None) if open.is_write => ClaimEnd::Acquired,
-            (TableEnd::Answer, None) => ClaimEnd::Unclaimed,
+            (TableEnd::ApplyAndLose | TableEnd::Unavailable, _) => ClaimOutcome::Unavailable,
+            (TableEnd::Answer, Some((home, claim))) => ClaimOutcome::AlreadyClaimed { home, claim },
+            (TableEnd::Answer, None) if open.is_write => ClaimOutcome::Acquired,
+            (TableEnd::Answer, None) => ClaimOutcome::Unclaimed,
         };
         if self.dispatchers[open.instance].incarnation() == open.incarnation {
             let claim = open.claim;
