--- a/ctl/src/console/pages.rs
+++ b/ctl/src/console/pages.rs
@@ -106,7 +106,7 @@
                 format!("<p class=\"done\" role=\"status\">Accepted as {line}.</p>\n{changes}");
             Page::new("Submitted", body)
         }
-        SubmitReport::Raced {
+        SubmitReport::Conflict {
             expected_revision,
             winner,
             changes,
--- a/ctl/src/submit_command.rs
+++ b/ctl/src/submit_command.rs
@@ -80,7 +80,7 @@
     write_report(context.format, &report)?;
     Ok(match report {
         SubmitReport::Accepted { .. } => Exit::Ok,
-        SubmitReport::Raced { .. } => Exit::LostRace,
+        SubmitReport::Conflict { .. } => Exit::LostRace,
     })
 }
 
@@ -95,7 +95,7 @@
                 writeln!(formatter, "accepted as {}", describe_head(head))?;
                 write_changes_since(formatter, head.revision - 1, changes.as_deref())
             }
-            Self::Raced {
+            Self::Conflict {
                 expected_revision,
                 winner,
                 changes,
--- a/ctl/src/submitting.rs
+++ b/ctl/src/submitting.rs
@@ -12,7 +12,7 @@
 use almondhead_macros::message;
 use almondhead_net::DocumentStore;
 use almondhead_net::Submission;
-use almondhead_net::Submitted;
+use almondhead_net::SubmitOutcome;
 
 use crate::error::CtlError;
 
@@ -42,7 +42,8 @@
         changes: Option<Vec<Change>>,
     },
     /// Another submission was accepted first, and the head was left unchanged.
-    Raced {
+    #[serde(rename = "raced")]
+    Conflict {
         /// The revision that the document was edited from.
         expected_revision: u64,
         /// The head in force; absent when no document was accepted yet.
@@ -72,13 +73,13 @@
     };
     let submitted = store.submit(&submission).await?;
     let newest = match &submitted {
-        Submitted::Accepted { head } => Some(head),
-        Submitted::Raced { winner } => winner.as_ref(),
+        SubmitOutcome::Accepted { head } => Some(head),
+        SubmitOutcome::Conflict { winner } => winner.as_ref(),
     };
     let changes = changes_since(store, expected_revision, newest).await;
     Ok(match submitted {
-        Submitted::Accepted { head } => SubmitReport::Accepted { head, changes },
-        Submitted::Raced { winner } => SubmitReport::Raced {
+        SubmitOutcome::Accepted { head } => SubmitReport::Accepted { head, changes },
+        SubmitOutcome::Conflict { winner } => SubmitReport::Conflict {
             expected_revision,
             winner,
             changes,
--- a/entry/tests/promise_document_in_force.rs
+++ b/entry/tests/promise_document_in_force.rs
@@ -10,7 +10,7 @@
 use almondhead_net::HttpPlatform;
 use almondhead_net::HttpSettings;
 use almondhead_net::Submission;
-use almondhead_net::Submitted;
+use almondhead_net::SubmitOutcome;
 use almondhead_testsupport::FaultProxy;
 use almondhead_testsupport::Outage;
 use almondhead_testsupport::PlatformFaults;
@@ -182,7 +182,7 @@
     };
     let store = DocumentStore::new(Arc::new(platform));
     let submitted = store.submit(&submission).await?;
-    Ok(matches!(submitted, Submitted::Accepted { .. }))
+    Ok(matches!(submitted, SubmitOutcome::Accepted { .. }))
 }
 
 #[test]
--- a/net/src/document_store.rs
+++ b/net/src/document_store.rs
@@ -12,4 +12,4 @@
 pub use error::DocumentStoreStep;
 pub use store::DocumentStore;
 pub use submission::Submission;
-pub use submission::Submitted;
+pub use submission::SubmitOutcome;
--- a/net/src/document_store/store.rs
+++ b/net/src/document_store/store.rs
@@ -13,7 +13,7 @@
 use super::error::DocumentStoreError;
 use super::error::DocumentStoreStep;
 use super::submission::Submission;
-use super::submission::Submitted;
+use super::submission::SubmitOutcome;
 use crate::platform::CasResult;
 use crate::platform::NewRow;
 use crate::platform::Platform;
@@ -99,13 +99,16 @@
     ///
     /// [`DocumentStoreError::Unknown`] if the head may have been replaced; after any other error
     /// the document was not accepted.
-    pub async fn submit(&self, submission: &Submission) -> Result<Submitted, DocumentStoreError> {
+    pub async fn submit(
+        &self,
+        submission: &Submission,
+    ) -> Result<SubmitOutcome, DocumentStoreError> {
         let current = self.stored_head().await?;
         let current_revision = current.as_ref().map_or(0, |stored| stored.head.revision);
         let expected = submission.expected_revision.unwrap_or(current_revision);
         if expected != current_revision {
             let winner = current.map(|stored| stored.head);
-            return Ok(Submitted::Raced { winner });
+            return Ok(SubmitOutcome::Conflict { winner });
         }
         let next = submission.head_after(current_revision);
         self.store_text(&next, &submission.text).await?;
@@ -163,14 +166,14 @@
         &self,
         row_revision: Option<u64>,
         next: Head,
-    ) -> Result<Submitted, DocumentStoreError> {
+    ) -> Result<SubmitOutcome, DocumentStoreError> {
         let mut unknown_outcome = None;
         for attempt in 0..REPLACE_ATTEMPTS {
             if attempt > 0 {
                 Timer::after(Duration::from_millis(REPLACE_RETRY_MS)).await;
             }
             match self.try_replace(row_revision, &next).await {
-                Ok(CasResult::Written { .. }) => return Ok(Submitted::Accepted { head: next }),
+                Ok(CasResult::Written { .. }) => return Ok(SubmitOutcome::Accepted { head: next }),
                 Ok(CasResult::Conflict(row)) => return self.resolve_conflict(row, next).await,
                 Err(source) if source.may_have_applied() => unknown_outcome = Some(source),
                 Err(source) if unknown_outcome.is_none() => {
@@ -205,10 +208,10 @@
         &self,
         row: Option<Row>,
         next: Head,
-    ) -> Result<Submitted, DocumentStoreError> {
+    ) -> Result<SubmitOutcome, DocumentStoreError> {
         let winner = row.map(|row| stored_head(&row)).transpose()?;
         let Some(winner) = winner.map(|stored| stored.head) else {
-            return Ok(Submitted::Raced { winner: None });
+            return Ok(SubmitOutcome::Conflict { winner: None });
         };
         let accepted = if winner.revision > next.revision {
             self.accepted_head(&next).await?
@@ -216,10 +219,10 @@
             Some(winner.clone())
         };
         if accepted.as_ref() == Some(&next) {
-            return Ok(Submitted::Accepted { head: next });
+            return Ok(SubmitOutcome::Accepted { head: next });
         }
         let winner = Some(winner);
-        Ok(Submitted::Raced { winner })
+        Ok(SubmitOutcome::Conflict { winner })
     }
 
     /// Reads the history row of the revision that this submission tried to write.
--- a/net/src/document_store/submission.rs
+++ b/net/src/document_store/submission.rs
@@ -23,14 +23,14 @@
 
 /// The outcome of a submission.
 #[value]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// The document was accepted.
     Accepted {
         /// The head that the submission wrote.
         head: Head,
     },
     /// Another submission was accepted first; this one changed nothing.
-    Raced {
+    Conflict {
         /// The current head; `None` if a revision was expected but there is no head.
         winner: Option<Head>,
     },
--- a/net/src/lib.rs
+++ b/net/src/lib.rs
@@ -11,7 +11,7 @@
 pub use crate::document_store::DocumentStoreError;
 pub use crate::document_store::DocumentStoreStep;
 pub use crate::document_store::Submission;
-pub use crate::document_store::Submitted;
+pub use crate::document_store::SubmitOutcome;
 pub use crate::http::ExchangeError;
 pub use crate::http::Failure;
 pub use crate::http::HttpClient;
--- a/net/tests/document_store.rs
+++ b/net/tests/document_store.rs
@@ -21,7 +21,7 @@
 use almondhead_net::PlatformOperation;
 use almondhead_net::Row;
 use almondhead_net::Submission;
-use almondhead_net::Submitted;
+use almondhead_net::SubmitOutcome;
 use smol::block_on;
 use smol::future::yield_now;
 use smol::future::zip;
@@ -133,7 +133,7 @@
 
 async fn accepted(store: &DocumentStore, token: &str, expected: Option<u64>) -> Head {
     match store.submit(&submission(token, expected)).await {
-        Ok(Submitted::Accepted { head }) => head,
+        Ok(SubmitOutcome::Accepted { head }) => head,
         other => panic!("{token}: {other:?}"),
     }
 }
@@ -168,7 +168,7 @@
         let winner = Some(winner);
         assert_eq!(
             result,
-            Submitted::Raced {
+            SubmitOutcome::Conflict {
                 winner: winner.clone()
             }
         );
@@ -186,8 +186,8 @@
         let head = store.head().await.unwrap().expect("there is a head");
         assert_eq!((head.revision, head.writer_token.as_str()), (2, "b"));
         let winner = Some(head.clone());
-        assert_eq!(results.0.unwrap(), Submitted::Accepted { head });
-        assert_eq!(results.1.unwrap(), Submitted::Raced { winner });
+        assert_eq!(results.0.unwrap(), SubmitOutcome::Accepted { head });
+        assert_eq!(results.1.unwrap(), SubmitOutcome::Conflict { winner });
     });
 }
 
