--- a/lib/src/batching.rs
+++ b/lib/src/batching.rs
@@ -60,7 +60,7 @@
                 free_slots: load.free_slots,
                 queued_tasks: load.queued_tasks,
                 slots: load.slots,
-                one_way: sibling.one_way,
+                one_way_delay: sibling.one_way_delay,
                 same_data_centre: sibling.listed.data_centre == self.config.data_centre,
             })
         });
--- a/lib/src/gossip.rs
+++ b/lib/src/gossip.rs
@@ -159,8 +159,8 @@
     pub(crate) fn apply_membership(&mut self, membership: Membership) {
         let site = &self.site;
         let here = self.config.data_centre.clone();
-        let one_way = |there: &str| site.one_way(&here, there);
-        let ended = self.siblings.update(&membership, one_way);
+        let one_way_delay = |there: &str| site.one_way_delay(&here, there);
+        let ended = self.siblings.update(&membership, one_way_delay);
         for sibling in ended {
             self.fail_batches_of(sibling);
         }
--- a/lib/src/overflow.rs
+++ b/lib/src/overflow.rs
@@ -48,7 +48,7 @@
 
     /// Whether the answer of a task that starts at `sibling` on arrival can be back in time.
     pub(crate) fn can_finish_at(&self, sibling: &SiblingCapacity) -> bool {
-        sibling.one_way * 2 + self.run_estimate <= self.time_left
+        sibling.one_way_delay * 2 + self.run_estimate <= self.time_left
     }
 }
 
@@ -65,7 +65,7 @@
     /// The slots that it owns.
     pub slots: u32,
     /// The one-way network time to it.
-    pub one_way: Duration,
+    pub one_way_delay: Duration,
     /// Whether it is in this data centre.
     pub same_data_centre: bool,
 }
--- a/lib/src/overflow_batch.rs
+++ b/lib/src/overflow_batch.rs
@@ -30,7 +30,7 @@
         if sibling.queued_tasks > 0 || !demand.can_finish_at(sibling) {
             continue;
         }
-        let min_wait = sibling.one_way * 2 + thresholds.min_saved_wait;
+        let min_wait = sibling.one_way_delay * 2 + thresholds.min_saved_wait;
         let worth_forwarding = demand.tasks_that_wait_longer_than(min_wait);
         let tasks = worth_forwarding
             .saturating_sub(forwarded)
--- a/lib/src/overflow_batched.rs
+++ b/lib/src/overflow_batched.rs
@@ -29,7 +29,8 @@
         siblings: &[SiblingCapacity],
     ) -> Vec<OverflowBatch> {
         let mut most_free_first: Vec<&SiblingCapacity> = siblings.iter().collect();
-        most_free_first.sort_by_key(|sibling| (u32::MAX - sibling.free_slots, sibling.one_way));
+        most_free_first
+            .sort_by_key(|sibling| (u32::MAX - sibling.free_slots, sibling.one_way_delay));
         let min_tasks = match demand.own_slots {
             0 => 1,
             _ => MIN_BATCH_TASKS,
--- a/lib/src/overflow_eager.rs
+++ b/lib/src/overflow_eager.rs
@@ -25,7 +25,7 @@
         nearest_first.sort_by_key(|sibling| {
             (
                 !sibling.same_data_centre,
-                sibling.one_way,
+                sibling.one_way_delay,
                 u32::MAX - sibling.free_slots,
             )
         });
--- a/lib/src/sibling_table.rs
+++ b/lib/src/sibling_table.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct SiblingState {
     pub(crate) listed: Sibling,
-    pub(crate) one_way: Duration,
+    pub(crate) one_way_delay: Duration,
     /// The incarnation that sent the last message.
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) last_contact_at: Option<Timestamp>,
@@ -57,10 +57,10 @@
 }
 
 impl SiblingState {
-    fn new(listed: Sibling, one_way: Duration, first_number: u64) -> Self {
+    fn new(listed: Sibling, one_way_delay: Duration, first_number: u64) -> Self {
         SiblingState {
             listed,
-            one_way,
+            one_way_delay,
             incarnation: None,
             last_contact_at: None,
             digest: LoadDigest::default(),
@@ -159,22 +159,22 @@
         }
     }
 
-    /// Applies a membership; `one_way` returns the one-way delay to a data centre.
+    /// Applies a membership; `one_way_delay` returns the one-way delay to a data centre.
     ///
     /// Returns the siblings whose last known incarnation has ended, or that never sent a message.
     pub(crate) fn update(
         &mut self,
         membership: &Membership,
-        one_way: impl Fn(&str) -> Duration,
+        one_way_delay: impl Fn(&str) -> Duration,
     ) -> Vec<SiblingKey> {
         self.ended = membership.ended.iter().copied().collect();
         for listed in &membership.siblings {
-            let delay = one_way(&listed.data_centre);
+            let delay = one_way_delay(&listed.data_centre);
             let known = self.names.get(&listed.name).copied();
             if let Some(key) = known {
                 let state = &mut self.siblings[key];
                 state.listed = listed.clone();
-                state.one_way = delay;
+                state.one_way_delay = delay;
                 continue;
             }
             let state = SiblingState::new(listed.clone(), delay, self.first_number);
@@ -256,7 +256,7 @@
     /// The nearest siblings, at most `count`.
     pub(crate) fn nearest(&self, count: usize) -> Vec<SiblingKey> {
         let mut keys: Vec<SiblingKey> = self.names.values().copied().collect();
-        keys.sort_by_key(|key| self.siblings[*key].one_way);
+        keys.sort_by_key(|key| self.siblings[*key].one_way_delay);
         keys.truncate(count);
         keys
     }
--- a/lib/src/site_state.rs
+++ b/lib/src/site_state.rs
@@ -79,7 +79,7 @@
     }
 
     /// The one-way delay between two data centres; zero within one.
-    pub(crate) fn one_way(&self, from: &str, to: &str) -> Duration {
+    pub(crate) fn one_way_delay(&self, from: &str, to: &str) -> Duration {
         if from == to {
             return Duration::ZERO;
         }
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -33,7 +33,7 @@
             free_slots: *free_slots,
             queued_tasks: 0,
             slots: 56,
-            one_way: Duration::from_millis(*one_way_ms),
+            one_way_delay: Duration::from_millis(*one_way_ms),
             same_data_centre: *one_way_ms == 0,
         })
         .collect()
