--- a/ctl/examples/measure/site.rs
+++ b/ctl/examples/measure/site.rs
@@ -76,13 +76,13 @@
     /// Returns the addresses at which the entries serve callers.
     pub(crate) fn caller_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.site.entries.iter();
-        entries.map(|entry| entry.callers).collect()
+        entries.map(|entry| entry.caller_address).collect()
     }
 
     /// Returns the addresses of the entries' operators' listeners.
     pub(crate) fn operator_addresses(&self) -> Vec<SocketAddr> {
         let entries = self.site.entries.iter();
-        entries.map(|entry| entry.operators).collect()
+        entries.map(|entry| entry.operator_address).collect()
     }
 
     /// Returns the resource usage of the entries that still run.
--- a/ctl/tests/load_run.rs
+++ b/ctl/tests/load_run.rs
@@ -17,8 +17,16 @@
 fn options(site: &Site) -> Result<LoadOptions, Box<dyn std::error::Error>> {
     let matches = load::command().get_matches_from(["load", "--entry", "127.0.0.1:1"]);
     Ok(LoadOptions {
-        entries: site.entries.iter().map(|entry| entry.callers).collect(),
-        operator_addresses: site.entries.iter().map(|entry| entry.operators).collect(),
+        entries: site
+            .entries
+            .iter()
+            .map(|entry| entry.caller_address)
+            .collect(),
+        operator_addresses: site
+            .entries
+            .iter()
+            .map(|entry| entry.operator_address)
+            .collect(),
         service: SERVICE.to_owned(),
         teams: vec![TEAM.to_owned()],
         slots: 8 * UPSTREAMS as u32,
--- a/entry/examples/small_site.rs
+++ b/entry/examples/small_site.rs
@@ -97,9 +97,9 @@
 fn show(site: &Site) {
     println!("\naddresses while the site runs:");
     for entry in &site.entries {
-        println!("  callers  http://{}/v1/tasks", entry.callers);
-        println!("  status   http://{}/status", entry.operators);
-        println!("  metrics  http://{}/metrics", entry.operators);
+        println!("  callers  http://{}/v1/tasks", entry.caller_address);
+        println!("  status   http://{}/status", entry.operator_address);
+        println!("  metrics  http://{}/metrics", entry.operator_address);
     }
     println!("  platform http://{}", site.platform.address());
 }
--- a/entry/tests/caller_limits.rs
+++ b/entry/tests/caller_limits.rs
@@ -67,7 +67,7 @@
         let chunk = format!("{:x}\r\n{}\r\n", 50_000, "x".repeat(50_000)).repeat(4);
         let head = "POST /v1/tasks HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n";
         let request = format!("{head}Connection: close\r\n\r\n{chunk}0\r\n\r\n");
-        let answer = exchange(site.entries[0].callers, request.as_bytes())?;
+        let answer = exchange(site.entries[0].caller_address, request.as_bytes())?;
         assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
         assert_eq!(site.starts().tasks, 0);
         Ok(())
@@ -96,7 +96,7 @@
 fn slow_and_cut_bodies_run_nothing() -> TestResult {
     smol::block_on(async {
         let site = start_limited_site().await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let body = job(1, 1).to_string();
         let request = raw_task(&body, body.len() + 1);
         let started_at = Instant::now();
@@ -119,7 +119,7 @@
         let site = start_limited_site().await?;
         let long = "x".repeat(10_000);
         let request = format!("POST /v1/tasks HTTP/1.1\r\nHost: a\r\nLong: {long}\r\n\r\n");
-        let answer = exchange(site.entries[0].callers, request.as_bytes())?;
+        let answer = exchange(site.entries[0].caller_address, request.as_bytes())?;
         assert_eq!(answer, "", "closed without an answer");
         assert_eq!(site.starts().tasks, 0);
         Ok(())
@@ -130,7 +130,7 @@
 fn connections_are_bounded() -> TestResult {
     smol::block_on(async {
         let site = start_limited_site().await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let open_connections: Vec<TcpStream> = (0..60)
             .map(|_| TcpStream::connect(address))
             .collect::<Result<_, _>>()?;
@@ -149,7 +149,7 @@
 fn idle_connections_are_closed() -> TestResult {
     smol::block_on(async {
         let site = start_limited_site().await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         for start in ["", "POST /v1/tasks HTTP/1.1\r\nHost"] {
             let started_at = Instant::now();
             assert_eq!(exchange(address, start.as_bytes())?, "");
@@ -166,7 +166,7 @@
     smol::block_on(async {
         let site = start_limited_site().await?;
         let body = job(1, 2_000).to_string();
-        let mut stream = TcpStream::connect(site.entries[0].callers)?;
+        let mut stream = TcpStream::connect(site.entries[0].caller_address)?;
         stream.set_write_timeout(Some(EXCHANGE_TIMEOUT))?;
         stream.write_all(raw_task(&body, body.len()).as_bytes())?;
         let junk = [b'x'; 64 * 1024];
@@ -182,7 +182,7 @@
         let site = start_limited_site().await?;
         let body = job(1, 10_000).to_string();
         let request = raw_task(&body, body.len());
-        let mut stream = TcpStream::connect(site.entries[0].callers)?;
+        let mut stream = TcpStream::connect(site.entries[0].caller_address)?;
         stream.write_all(request.as_bytes())?;
         site.wait_for_status(0, "running_attempts", 1).await?;
         drop(stream);
--- a/entry/tests/data_centre_cut.rs
+++ b/entry/tests/data_centre_cut.rs
@@ -110,7 +110,7 @@
 
     /// Submits a job of a session at an entry and checks that it is complete and ran once.
     async fn check_served(&self, entry: usize, session: &str, marker: &str) -> TestResult {
-        let address = self.site.entries[entry].callers;
+        let address = self.site.entries[entry].caller_address;
         let body = marked_job(marker, TASKS, 20);
         let answer = self.site.send(put_job(address, session, 1, &body)).await?;
         assert_eq!(answer.status, 200, "{marker}: {:?}", answer.body);
@@ -120,7 +120,7 @@
 
     /// Resubmits a job at the other entry until the entry reaches the job's home again.
     async fn resubmit(&self, entry: usize, session: &str, marker: &str) -> TestResult {
-        let address = self.site.entries[entry].callers;
+        let address = self.site.entries[entry].caller_address;
         let body = marked_job(marker, TASKS, 20);
         let mut last_answer = String::new();
         for _ in 0..MAX_RESUBMISSIONS {
@@ -157,7 +157,7 @@
     let caller = Caller::new();
     let mut overflow = marked_job("overflow", OVERFLOW_TASKS, 500);
     overflow["timeout_ms"] = json!(8_000);
-    let north_address = site.entries[NORTH_ENTRY].callers;
+    let north_address = site.entries[NORTH_ENTRY].caller_address;
     let overflow = || put_job(north_address, &overflow_session, 1, &overflow);
     let running = caller.send(overflow());
     site.wait_for_starts("overflow", 1).await?;
--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -426,7 +426,7 @@
     index: usize,
 ) -> TestResult {
     site.instances[index] = site.start_instance(index)?;
-    lock(state).addresses[index] = site.instances[index].callers;
+    lock(state).addresses[index] = site.instances[index].caller_address;
     // Queues are matched by host, and its host has changed.
     site.put_intended();
     Ok(())
@@ -622,7 +622,7 @@
         for attempt in 0_u64.. {
             let job = (seed << 32) + ((number as u64) << 16) + attempt;
             let path = format!("/look/{job:016x}");
-            let address = site.instances[number].callers;
+            let address = site.instances[number].caller_address;
             let spec = run_job(4, 6_800, 60);
             let answer = submit_over(&client, address, &path, &spec, CALLER_WAIT).await;
             let answer = answer.ok();
@@ -664,7 +664,7 @@
     let state = SharedState::default();
     {
         let mut state = lock(&state);
-        state.addresses = site.instances.iter().map(|at| at.callers).collect();
+        state.addresses = site.instances.iter().map(|at| at.caller_address).collect();
         state.healthy_since = vec![Some(started_at); instances];
         state.callers_reset_at = vec![None; instances];
     }
--- a/entry/tests/graceful_stop.rs
+++ b/entry/tests/graceful_stop.rs
@@ -63,7 +63,7 @@
             connections: 64,
             ..HttpSettings::default()
         }));
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let callers: Vec<_> = (0..CALLERS)
             .map(|number| submit_until_refused(&client, address, number))
             .collect();
--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -25,7 +25,7 @@
     tasks: u32,
 ) -> Option<CallerAnswer> {
     let path = format!("/look/{job:016x}");
-    let address = site.instances[instance].callers;
+    let address = site.instances[instance].caller_address;
     let job = run_job(tasks, 6_800, 60);
     submit(address, &path, &job, CALLER_WAIT).await.ok()
 }
@@ -59,7 +59,7 @@
         assert!(starts.values().all(|times| *times == 1));
         let path = "/other/0000000000000001";
         let job = run_job(1, 100, 10);
-        let unknown = submit(site.instances[0].callers, path, &job, CALLER_WAIT).await?;
+        let unknown = submit(site.instances[0].caller_address, path, &job, CALLER_WAIT).await?;
         assert_eq!(unknown.status, 404);
         Ok(())
     })
@@ -198,7 +198,7 @@
         assert!(lines.iter().all(|line| line.starts_with('{')));
         let request = almondhead_net::HttpRequest::new(
             almondhead_net::Method::GET,
-            site.instances[0].operators,
+            site.instances[0].operator_address,
             "/metrics",
         );
         let client = almondhead_net::HttpClient::new(almondhead_net::HttpSettings::default());
--- a/entry/tests/leased_stop.rs
+++ b/entry/tests/leased_stop.rs
@@ -38,7 +38,7 @@
 fn job_within_the_grace_is_finished() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_millis(3_500)).await?;
-        let address = site.instances[0].callers;
+        let address = site.instances[0].caller_address;
         let job = run_job(4, 6_800, 3_500);
         let answered = submit(address, PATH, &job, CALLER_WAIT);
         let process = &mut site.instances[0].process;
@@ -61,7 +61,7 @@
 fn job_beyond_the_grace_gets_its_answer() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_secs(12)).await?;
-        let address = site.instances[0].callers;
+        let address = site.instances[0].caller_address;
         let job = run_job(4, 6_800, 12_000);
         let answered = submit(address, PATH, &job, CALLER_WAIT);
         let process = &mut site.instances[0].process;
@@ -86,7 +86,7 @@
 fn short_job_is_accepted_while_stopping() -> TestResult {
     smol::block_on(async {
         let mut site = start(Duration::from_millis(60)).await?;
-        let address = site.instances[0].callers;
+        let address = site.instances[0].caller_address;
         site.instances[0].process.terminate()?;
         let stopping = site.instances[0]
             .process
--- a/entry/tests/promise_at_most_once.rs
+++ b/entry/tests/promise_at_most_once.rs
@@ -46,7 +46,7 @@
         let caller = Caller::new();
         let session = site.open_session(0).await?;
         let body = marked_job("joined", 16, 400);
-        let submit = |entry: usize| put_job(site.entries[entry].callers, &session, 1, &body);
+        let submit = |entry: usize| put_job(site.entries[entry].caller_address, &session, 1, &body);
         let first = caller.send(submit(0));
         site.wait_for_starts("joined", 1).await?;
         let while_running = [caller.send(submit(1)), caller.send(submit(0))];
@@ -68,7 +68,7 @@
     smol::block_on(async {
         let site = start_siblings().await?;
         let caller = Caller::new();
-        let proxy = FaultProxy::start(site.entries[0].callers).await?;
+        let proxy = FaultProxy::start(site.entries[0].caller_address).await?;
         let session = site.open_session(0).await?;
         let body = marked_job("lost", 4, 50);
         for cut_answer_after_bytes in [0, 40] {
@@ -81,7 +81,7 @@
         }
         assert_eq!(proxy.counters().cuts, 2);
         for entry in [1, 0] {
-            let again = put_job(site.entries[entry].callers, &session, 1, &body);
+            let again = put_job(site.entries[entry].caller_address, &session, 1, &body);
             assert_eq!(site.send(again).await?.status, 200);
         }
         assert_eq!(site.starts_of("lost"), 4);
@@ -96,13 +96,13 @@
         let caller = Caller::new();
         let session = site.open_session(0).await?;
         let body = marked_job("orphan", 8, 3_000);
-        let cut = caller.send(put_job(site.entries[0].callers, &session, 1, &body));
+        let cut = caller.send(put_job(site.entries[0].caller_address, &session, 1, &body));
         site.wait_for_starts("orphan", 8).await?;
         site.entries[0].process.kill9()?;
         assert!(!site.entries[0].process.is_running());
         assert!(cut.await.is_err());
 
-        let through_sibling = put_job(site.entries[1].callers, &session, 1, &body);
+        let through_sibling = put_job(site.entries[1].caller_address, &session, 1, &body);
         let answer = site.send(through_sibling.clone()).await?;
         check_reason(&answer, "failed", "home_unreachable")?;
         assert!(answer.header("retry-after").is_some());
@@ -121,7 +121,7 @@
 
         let restarted = site.start_entry("entry-a", NORTH, json!({})).await?;
         for entry in [restarted, 1] {
-            let again = put_job(site.entries[entry].callers, &session, 1, &body);
+            let again = put_job(site.entries[entry].caller_address, &session, 1, &body);
             check_reason(&site.send(again).await?, "failed", "home_gone")?;
         }
         assert_eq!(site.starts_of("orphan"), 8);
@@ -135,7 +135,7 @@
         let (site, proxy) = Site::start_behind_proxy().await?;
         let caller = Caller::new();
         let session = site.open_session(0).await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
 
         let body = marked_job("sent", 4, 1_000);
         let cut = caller.send(put_job(address, &session, 1, &body));
@@ -177,7 +177,7 @@
         });
         let body = marked_job("ran", 1, 5);
         for entry in [0, 1, 0] {
-            let request = put_job(site.entries[entry].callers, &session, 1, &body);
+            let request = put_job(site.entries[entry].caller_address, &session, 1, &body);
             check_reason(&site.send(request).await?, "failed", "unknown")?;
         }
         assert_eq!(site.upstreams[0].report().counters.lost_answers, 1);
@@ -194,7 +194,7 @@
         let session = site.open_session(0).await?;
         let mut body = marked_job("frozen", 64, 300);
         body["timeout_ms"] = json!(4_000);
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let thawed = caller.send(put_job(address, &session, 1, &body));
         site.wait_for_starts("frozen", 16).await?;
         site.entries[0].process.freeze()?;
@@ -204,14 +204,14 @@
         let started = site.starts_of("frozen");
         assert!(started < 64, "all tasks had started before the freeze");
 
-        let during = put_job(site.entries[1].callers, &session, 1, &body);
+        let during = put_job(site.entries[1].caller_address, &session, 1, &body);
         check_reason(&site.send(during).await?, "failed", "home_unreachable")?;
         Timer::after(EXTRA_FREEZE_TIME).await;
         site.entries[0].process.thaw()?;
         check_reason(&thawed.await?, "failed", "deadline_passed")?;
         Timer::after(SETTLE_TIME).await;
         for entry in [0, 1] {
-            let again = put_job(site.entries[entry].callers, &session, 1, &body);
+            let again = put_job(site.entries[entry].caller_address, &session, 1, &body);
             check_reason(&site.send(again).await?, "failed", "deadline_passed")?;
         }
         assert_eq!(site.starts_of("frozen"), started);
--- a/entry/tests/promise_document_in_force.rs
+++ b/entry/tests/promise_document_in_force.rs
@@ -43,7 +43,7 @@
 
 /// Checks that an entry accepts tasks of this team and not of the first document's team.
 async fn check_team(site: &Site, entry: usize, team: &str) -> TestResult {
-    let address = site.entries[entry].callers;
+    let address = site.entries[entry].caller_address;
     let mut body = marked_job("shown", 1, 1);
     let answer = json_of(&site.send(post_task(address, &body)).await?)?;
     assert_eq!(answer["reason"], "unknown_team", "{entry}: {answer}");
--- a/entry/tests/promise_graceful_stop.rs
+++ b/entry/tests/promise_graceful_stop.rs
@@ -70,7 +70,7 @@
         for number in 0..CALLERS {
             for (name, entry) in [("direct", 0), ("forwarded", 1)] {
                 let session = site.open_session(0).await?;
-                let address = site.entries[entry].callers;
+                let address = site.entries[entry].caller_address;
                 callers.push(submit_until_refused(name, number, address, session));
             }
         }
@@ -117,7 +117,7 @@
         site.wait_for_siblings(1).await?;
         let session = site.open_session(1).await?;
         let body = marked_job("overflow", 32, 2_500);
-        let address = site.entries[1].callers;
+        let address = site.entries[1].caller_address;
         let running = Caller::new().send(put_job(address, &session, 1, &body));
         site.wait_for_starts("overflow", 32).await?;
         let batches = site.status_of(1, "messages").await?["batches"].as_u64();
--- a/entry/tests/promise_leaving_upstream.rs
+++ b/entry/tests/promise_leaving_upstream.rs
@@ -44,7 +44,7 @@
         let callers = (0..CALLERS)
             .map(|number| {
                 let entry = &site.entries[number % site.entries.len()];
-                let (address, ending) = (entry.callers, Arc::clone(&ending));
+                let (address, ending) = (entry.caller_address, Arc::clone(&ending));
                 smol::spawn(async move {
                     let caller = Caller::new();
                     for call in 0..MAX_CALLS_PER_CALLER {
--- a/entry/tests/promise_non_idempotent.rs
+++ b/entry/tests/promise_non_idempotent.rs
@@ -57,12 +57,12 @@
             });
             let body = non_idempotent_job(&name, 2, 5);
             for entry in [0, 1, 0] {
-                let request = post_keyed(site.entries[entry].callers, &name, &body);
+                let request = post_keyed(site.entries[entry].caller_address, &name, &body);
                 check_claim_unavailable(&site.send(request).await?)?;
             }
             assert_eq!(site.starts_of(&name), 0);
             site.platform.set_faults(PlatformFaults::default());
-            let request = post_keyed(site.entries[0].callers, &name, &body);
+            let request = post_keyed(site.entries[0].caller_address, &name, &body);
             let mut answer = site.send(request.clone()).await?;
             for _ in 0..10 {
                 if answer.status == 200 {
@@ -73,7 +73,7 @@
                 answer = site.send(request.clone()).await?;
             }
             assert_eq!(answer.status, 200, "{:?}", answer.body);
-            let through_other = post_keyed(site.entries[1].callers, &name, &body);
+            let through_other = post_keyed(site.entries[1].caller_address, &name, &body);
             assert_eq!(site.send(through_other).await?.body, answer.body);
             assert_eq!(site.starts_of(&name), 2);
         }
@@ -93,11 +93,11 @@
         });
         let body = non_idempotent_job("lost-claim", 2, 100);
         let first = site
-            .send(post_keyed(site.entries[0].callers, "lost", &body))
+            .send(post_keyed(site.entries[0].caller_address, "lost", &body))
             .await?;
         assert!(site.platform.counters().lost_answers > 0);
         for entry in [0, 1] {
-            let again = post_keyed(site.entries[entry].callers, "lost", &body);
+            let again = post_keyed(site.entries[entry].caller_address, "lost", &body);
             let again = site.send(again).await?;
             assert_eq!(again.status, 200, "{:?}", again.body);
             if first.status == 200 {
@@ -120,7 +120,9 @@
             let body = non_idempotent_job(&key, 2, 20);
             let answers: Vec<_> = [0, 1, race % 2]
                 .into_iter()
-                .map(|entry| caller.send(post_keyed(site.entries[entry].callers, &key, &body)))
+                .map(|entry| {
+                    caller.send(post_keyed(site.entries[entry].caller_address, &key, &body))
+                })
                 .collect();
             races.push(answers);
         }
@@ -144,14 +146,14 @@
         let mut site = start_siblings().await?;
         let caller = Caller::new();
         let body = non_idempotent_job("orphan", 4, 2_000);
-        let cut = caller.send(post_keyed(site.entries[0].callers, "orphan", &body));
+        let cut = caller.send(post_keyed(site.entries[0].caller_address, "orphan", &body));
         site.wait_for_starts("orphan", 4).await?;
         site.entries[0].process.kill9()?;
         assert!(!site.entries[0].process.is_running());
         assert!(cut.await.is_err());
         let restarted = site.start_entry("entry-a", NORTH, json!({})).await?;
         for entry in [1, restarted, 1, restarted] {
-            let request = post_keyed(site.entries[entry].callers, "orphan", &body);
+            let request = post_keyed(site.entries[entry].caller_address, "orphan", &body);
             let answer = json_of(&site.send(request).await?)?;
             assert_eq!(answer["outcome"], "failed", "{answer}");
         }
@@ -169,7 +171,7 @@
             limit_tasks: Some(1),
             ..UpstreamFaults::default()
         };
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         for upstream in &site.upstreams {
             upstream.set_faults(lose_one.clone());
         }
--- a/entry/tests/promise_not_run.rs
+++ b/entry/tests/promise_not_run.rs
@@ -76,7 +76,7 @@
         }
         let mut body = marked_job("guarded", 1, 5);
         body["timeout_ms"] = json!(2_000);
-        let request = put_job(site.entries[0].callers, &session, 1, &body);
+        let request = put_job(site.entries[0].caller_address, &session, 1, &body);
         let answer = site.send(request.clone()).await?;
         check_not_run(&site, &answer, "guarded", "deadline_passed").await?;
         let refused = site.upstreams.iter().map(|u| u.report().counters.refused);
@@ -97,7 +97,7 @@
         let session = site.open_session(0).await?;
         proxy.refuse().await;
         let body = marked_job("refused", 1, 5);
-        let request = put_job(site.entries[0].callers, &session, 1, &body);
+        let request = put_job(site.entries[0].caller_address, &session, 1, &body);
         let answer = site.send(request.clone()).await?;
         check_not_run(&site, &answer, "refused", "not_taken").await?;
         assert_eq!(proxy.counters().connections, 0);
@@ -117,7 +117,7 @@
         site.install(1, &installed).await?;
         site.start_entry("entry-a", NORTH, json!({})).await?;
         let session = site.open_session(0).await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let mut unknown = marked_job("unknown", 1, 5);
         unknown["service"] = json!("none");
         let mut never = marked_job("never", 1, 5);
@@ -155,7 +155,7 @@
             ..PlatformFaults::default()
         });
         let body = marked_job("keyed", 3, 5);
-        let request = post_keyed(site.entries[0].callers, "charge", &body);
+        let request = post_keyed(site.entries[0].caller_address, "charge", &body);
         let answer = site.send(request.clone()).await?;
         check_not_run(&site, &answer, "keyed", "claim_unavailable").await?;
         assert!(site.platform.counters().refused > 0);
@@ -172,7 +172,7 @@
         let site = Site::start(1).await?;
         let caller = Caller::new();
         let session = site.open_session(0).await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let body = marked_job("holder", 8, 2_000);
         let holder = caller.send(put_job(address, &session, 1, &body));
         site.wait_for_starts("holder", 8).await?;
@@ -221,7 +221,7 @@
             .map(|number| {
                 let mut body = marked_job(&format!("burst-{number}"), BURST_TASKS, 60);
                 body["timeout_ms"] = json!(1_000 + number * 20);
-                let request = put_job(site.entries[0].callers, &session, number, &body);
+                let request = put_job(site.entries[0].caller_address, &session, number, &body);
                 caller.send(request)
             })
             .collect();
--- a/entry/tests/promise_own_answer.rs
+++ b/entry/tests/promise_own_answer.rs
@@ -37,7 +37,7 @@
 fn reordered_answers_reach_their_callers() -> TestResult {
     smol::block_on(async {
         let (site, upstream_proxy) = Site::start_behind_proxy().await?;
-        let caller_proxy = FaultProxy::start(site.entries[0].callers).await?;
+        let caller_proxy = FaultProxy::start(site.entries[0].caller_address).await?;
         for (proxy, side) in [(&upstream_proxy, "upstream"), (&caller_proxy, "caller")] {
             proxy.set_faults(ProxyFaults {
                 hold_answers: true,
@@ -64,7 +64,7 @@
 fn late_answers_reach_no_other_caller() -> TestResult {
     smol::block_on(async {
         let (site, _proxy) = Site::start_behind_proxy().await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         site.upstreams[0].set_faults(UpstreamFaults {
             delay_ms: 900,
             limit_tasks: Some(CALLS as u64),
@@ -102,7 +102,7 @@
 fn mismatched_or_truncated_answer_reaches_no_caller() -> TestResult {
     smol::block_on(async {
         let (site, _proxy) = Site::start_behind_proxy().await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         let one = || UpstreamFaults {
             limit_tasks: Some(1),
             ..UpstreamFaults::default()
--- a/entry/tests/promise_whole_answer.rs
+++ b/entry/tests/promise_whole_answer.rs
@@ -74,7 +74,7 @@
             // flight would trigger the fault.
             let site = Site::start(1).await?;
             let session = site.open_session(0).await?;
-            let address = site.entries[0].callers;
+            let address = site.entries[0].caller_address;
             site.upstreams[0].set_faults(fault.faults);
             let body = marked_job(fault.name, 48, 20);
             let answer = site.send(put_job(address, &session, 1, &body)).await?;
@@ -109,7 +109,7 @@
     smol::block_on(async {
         let (site, proxy) = Site::start_behind_proxy().await?;
         let session = site.open_session(0).await?;
-        let address = site.entries[0].callers;
+        let address = site.entries[0].caller_address;
         for (cut_answer_after_bytes, number) in [0, 20, 160, 220].into_iter().zip(1..) {
             proxy.set_faults(ProxyFaults {
                 cut_answer_after_bytes: Some(cut_answer_after_bytes),
@@ -135,7 +135,7 @@
         let limits = json!({ "limits": { "body_bytes": 64 * 1_024 * 1_024 } });
         site.start_entry("entry-a", NORTH, limits).await?;
         let session = site.open_session(0).await?;
-        let proxy = FaultProxy::start(site.entries[0].callers).await?;
+        let proxy = FaultProxy::start(site.entries[0].caller_address).await?;
         let caller = Caller::new();
         let mut body = marked_job("large", LARGE_TASKS, 400);
         for input in body["inputs"].as_array_mut().into_iter().flatten() {
--- a/entry/tests/run_decisions.rs
+++ b/entry/tests/run_decisions.rs
@@ -22,13 +22,13 @@
 ) -> Result<CallerAnswer, Box<dyn std::error::Error>> {
     let path = format!("/look/{id}");
     let wait = Duration::from_millis(wait_ms);
-    Ok(submit(site.instances[0].callers, &path, job, wait).await?)
+    Ok(submit(site.instances[0].caller_address, &path, job, wait).await?)
 }
 
 /// Returns the lines of the operators' metrics whose value is not zero.
 async fn nonzero_metrics(site: &ProcessSite) -> Result<Vec<String>, Box<dyn std::error::Error>> {
-    let operators = site.instances[0].operators;
-    let request = HttpRequest::new(Method::GET, operators, "/metrics");
+    let operator_address = site.instances[0].operator_address;
+    let request = HttpRequest::new(Method::GET, operator_address, "/metrics");
     let client = HttpClient::new(HttpSettings::default());
     let scraped = client.send(request, Duration::from_secs(1)).await?;
     let text = String::from_utf8(scraped.body.to_vec())?;
--- a/lib/testsupport/src/site.rs
+++ b/lib/testsupport/src/site.rs
@@ -70,9 +70,9 @@
     /// The process.
     pub process: ProcessHandle,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// The address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
 }
 
 impl Site {
@@ -140,14 +140,14 @@
         data_centre: &str,
         changes: Value,
     ) -> Result<usize, Box<dyn Error>> {
-        let callers = free_address()?;
-        let operators = free_address()?;
+        let caller_address = free_address()?;
+        let operator_address = free_address()?;
         let mut settings = json!({
             "instance": name,
             "data_centre": data_centre,
-            "caller_address": callers,
+            "caller_address": caller_address,
             "peer_address": free_address()?,
-            "operator_address": operators,
+            "operator_address": operator_address,
             "platform_address": self.platform.address(),
             "peer_key": "a key for tests of thirty-two bytes or more",
             "stop_notice_ms": 300,
@@ -161,12 +161,12 @@
         let mut process =
             ProcessHandle::start(&program, [OsStr::new("--settings"), file.as_os_str()])?;
         process
-            .wait_for_ok(operators, "/readyz", START_TIMEOUT)
+            .wait_for_ok(operator_address, "/readyz", START_TIMEOUT)
             .await?;
         self.entries.push(Entry {
             process,
-            callers,
-            operators,
+            caller_address,
+            operator_address,
         });
         Ok(self.entries.len() - 1)
     }
@@ -182,19 +182,19 @@
 
     /// Waits until a field of an entry's status has the value `wanted`.
     pub async fn wait_for_status(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
-        let operators = self.entries[entry].operators;
+        let operator_address = self.entries[entry].operator_address;
         for _ in 0..MAX_STATUS_POLLS {
-            let request = HttpRequest::new(Method::GET, operators, "/status");
+            let request = HttpRequest::new(Method::GET, operator_address, "/status");
             let answer = self.send(request).await?;
             if json_of(&answer)?[field] == wanted {
                 return Ok(());
             }
             Timer::after(STATUS_POLL_INTERVAL).await;
         }
-        Err(
-            format!("timed out waiting until {field} in the status of {operators} is {wanted}")
-                .into(),
+        Err(format!(
+            "timed out waiting until {field} in the status of {operator_address} is {wanted}"
         )
+        .into())
     }
 
     /// Opens a session at an entry and returns its token.
@@ -211,7 +211,7 @@
 
     /// Returns a caller's request to an entry.
     pub fn request(&self, entry: usize, method: Method, path: &str) -> HttpRequest {
-        HttpRequest::new(method, self.entries[entry].callers, path)
+        HttpRequest::new(method, self.entries[entry].caller_address, path)
     }
 
     /// Sends a request and waits for the complete answer.
--- a/lib/testsupport/src/site_faults.rs
+++ b/lib/testsupport/src/site_faults.rs
@@ -125,8 +125,8 @@
 
     /// Returns the current value of a field of an entry's status.
     pub async fn status_of(&self, entry: usize, field: &str) -> Result<Value, Box<dyn Error>> {
-        let operators = self.entries[entry].operators;
-        let request = HttpRequest::new(Method::GET, operators, "/status");
+        let operator_address = self.entries[entry].operator_address;
+        let request = HttpRequest::new(Method::GET, operator_address, "/status");
         Ok(json_of(&self.send(request).await?)?[field].clone())
     }
 
