--- a/lib/tests/caller_wait.rs
+++ b/lib/tests/caller_wait.rs
@@ -125,7 +125,7 @@
         // plus 60 ms.
         let wait_ms = 1_500 + 3 * (run_ms * 8 / 5 + 60);
         site.set_caller_wait(Some(Duration::from_millis(wait_ms)));
-        let node = number as usize % site.nodes();
+        let node = number as usize % site.node_count();
         let job = run_job(tasks as u32, 6_800, declared_ms);
         let work = Duration::from_millis(run_ms);
         site.submit_work(node, "look", &id, &job, work);
--- a/lib/tests/calm_runs.rs
+++ b/lib/tests/calm_runs.rs
@@ -27,10 +27,10 @@
 #[test]
 fn every_upstream_has_one_owner() {
     let site = started();
-    let owned: usize = (0..site.nodes())
+    let owned: usize = (0..site.node_count())
         .map(|node| site.usable_upstreams(node))
         .sum();
-    assert_eq!(owned, site.upstreams());
+    assert_eq!(owned, site.upstream_count());
 }
 
 #[test]
@@ -52,7 +52,7 @@
     site.run_ms(500);
     // 12 upstreams run two tasks each, so that the job needs all of them to run at once.
     assert!(took_ms(&site, "00000000000000ab") <= 110);
-    assert!((0..site.upstreams()).all(|upstream| site.start_count(upstream) == 2));
+    assert!((0..site.upstream_count()).all(|upstream| site.start_count(upstream) == 2));
 }
 
 #[test]
@@ -111,7 +111,9 @@
     site.run_ms(500);
     site.submit(0, "look", "00000000000000b0", &job);
     site.run_ms(5);
-    let starts: u64 = (0..site.upstreams()).map(|up| site.start_count(up)).sum();
+    let starts: u64 = (0..site.upstream_count())
+        .map(|up| site.start_count(up))
+        .sum();
     assert_eq!(starts, 2);
     let answer = &site.answer("00000000000000b0").expect("an answer").answer;
     assert_eq!(*answer, RunAnswer::Ended(JobEnd::Completed));
--- a/lib/tests/failure_budget.rs
+++ b/lib/tests/failure_budget.rs
@@ -17,14 +17,16 @@
             ..SitePlan::new(2, 2, 6)
         });
         site.run_ms(1_000);
-        for upstream in 0..site.upstreams() {
+        for upstream in 0..site.upstream_count() {
             site.set_upstream_fault(upstream, Some(UpstreamFault::FailsAll));
         }
         site.submit(0, "look", "00000000000000aa", &run_job(1, 1_000, 50));
         site.run_ms(1_000);
         let answer = site.answer("00000000000000aa").expect("an answer");
         assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Failed));
-        let starts: u64 = (0..site.upstreams()).map(|up| site.start_count(up)).sum();
+        let starts: u64 = (0..site.upstream_count())
+            .map(|up| site.start_count(up))
+            .sum();
         assert_eq!(starts, u64::from(max_attempts));
     }
 }
--- a/lib/tests/intended_changes.rs
+++ b/lib/tests/intended_changes.rs
@@ -14,7 +14,7 @@
 
 /// The number of instances that complete a job of the queue; `round` keeps the jobs' names unique.
 fn count_serving(site: &mut RunSite, queue: &str, round: usize) -> usize {
-    let ids: Vec<String> = (0..site.nodes())
+    let ids: Vec<String> = (0..site.node_count())
         .map(|node| format!("{:016x}", 1_000 * round + node))
         .collect();
     for (node, id) in ids.iter().enumerate() {
@@ -30,12 +30,12 @@
 #[test]
 fn change_that_one_instance_read_reaches_all() {
     let mut site = started();
-    for node in 1..site.nodes() {
+    for node in 1..site.node_count() {
         site.cut_from_store(node, true);
     }
     site.deliver_intended_state(0, 2, &["look", "find"]);
     site.run_ms(2_000);
-    let nodes = site.nodes();
+    let nodes = site.node_count();
     assert_eq!(count_serving(&mut site, "find", 1), nodes);
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn older_version_is_never_installed() {
     let mut site = started();
-    let nodes = site.nodes();
+    let nodes = site.node_count();
     for node in 0..nodes {
         site.deliver_intended_state(node, 3, &["look", "find"]);
     }
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -23,7 +23,7 @@
 /// Submits a job every 20 ms, in turn at each instance; returns the share that completed in time.
 fn served_share(site: &mut RunSite, jobs: u32, within_ms: u128) -> f64 {
     for number in 0..jobs {
-        let node = number as usize % site.nodes();
+        let node = number as usize % site.node_count();
         let id = format!("{number:016x}");
         site.submit(node, "look", &id, &run_job(2, 6_800, 60));
         site.run_ms(20);
@@ -173,9 +173,9 @@
     site.set_caller_wait(Some(Duration::from_millis(6_000)));
     site.submit(0, "look", "00000000000000aa", &run_job(4, 6_800, 500));
     site.run_ms(100);
-    let upstream = (0..site.upstreams()).find(|upstream| site.start_count(*upstream) > 0);
+    let upstream = (0..site.upstream_count()).find(|upstream| site.start_count(*upstream) > 0);
     let upstream = upstream.expect("an upstream that started a task");
-    for node in 0..site.nodes() {
+    for node in 0..site.node_count() {
         site.set_upstream_path(node, upstream, Some(PathLoss::Orders));
     }
     site.delist(upstream);
--- a/lib/tests/random_faults.rs
+++ b/lib/tests/random_faults.rs
@@ -41,12 +41,12 @@
 ];
 
 fn begin_fault(site: &mut RunSite, fault: Fault) -> usize {
-    let node = site.random_below(site.nodes() as u64) as usize;
-    let upstream = site.random_below(site.upstreams() as u64) as usize;
+    let node = site.random_below(site.node_count() as u64) as usize;
+    let upstream = site.random_below(site.upstream_count() as u64) as usize;
     match fault {
         Fault::Kill => site.kill(node),
         Fault::Freeze => site.freeze(node),
-        Fault::CutPair => site.cut(node, (node + 1) % site.nodes(), true),
+        Fault::CutPair => site.cut(node, (node + 1) % site.node_count(), true),
         Fault::CutStore => site.cut_from_store(node, true),
         Fault::StoreDown => site.set_store_down(true),
         Fault::Orders => site.set_order_fault(OrderFault {
@@ -74,7 +74,7 @@
     match fault {
         Fault::Kill => site.start_node(target),
         Fault::Freeze => site.thaw(target),
-        Fault::CutPair => site.cut(target, (target + 1) % site.nodes(), false),
+        Fault::CutPair => site.cut(target, (target + 1) % site.node_count(), false),
         Fault::CutStore => site.cut_from_store(target, false),
         Fault::StoreDown => site.set_store_down(false),
         Fault::Orders => site.set_order_fault(OrderFault::default()),
@@ -91,7 +91,7 @@
 fn submit_jobs(site: &mut RunSite, next: &mut u64, ms: u64) {
     let until = site.now_ms() + ms;
     while site.now_ms() < until {
-        let node = site.random_below(site.nodes() as u64) as usize;
+        let node = site.random_below(site.node_count() as u64) as usize;
         let tasks = 1 + site.random_below(8) as u32;
         let run_ms = 40 + site.random_below(400);
         let id = format!("{next:016x}");
@@ -145,12 +145,12 @@
         site.violations()
     );
     assert_eq!(site.running(), 0, "seed {seed}: runs still active");
-    let usable: usize = (0..site.nodes())
+    let usable: usize = (0..site.node_count())
         .map(|node| site.usable_upstreams(node))
         .sum();
     assert_eq!(
         usable,
-        site.upstreams(),
+        site.upstream_count(),
         "seed {seed}: some upstreams are not usable"
     );
 }
--- a/lib/tests/reused_names.rs
+++ b/lib/tests/reused_names.rs
@@ -18,13 +18,13 @@
 }
 
 fn upstream_that_started(site: &RunSite) -> usize {
-    let mut upstreams = 0..site.upstreams();
+    let mut upstreams = 0..site.upstream_count();
     let found = upstreams.find(|upstream| site.start_count(*upstream) > 0);
     found.expect("an upstream that started a task")
 }
 
 fn set_path(site: &mut RunSite, upstream: usize, loss: Option<PathLoss>) {
-    for node in 0..site.nodes() {
+    for node in 0..site.node_count() {
         site.set_upstream_path(node, upstream, loss);
     }
 }
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -101,7 +101,7 @@
         });
         site.set_caller_wait(Some(Duration::from_millis(caller_wait_ms)));
         site.run_ms(1_000);
-        let nodes = site.nodes();
+        let nodes = site.node_count();
         Scenario {
             site,
             callers: Vec::new(),
@@ -220,7 +220,7 @@
     fn random_fault(&mut self) -> Fault {
         let node = self.random_below(self.down.len());
         let other = (node + 1 + self.random_below(self.down.len() - 1)) % self.down.len();
-        let upstream = self.random_below(self.site.upstreams());
+        let upstream = self.random_below(self.site.upstream_count());
         let loss_choices = [PathLoss::Orders, PathLoss::Answers];
         let loss = loss_choices[self.random_below(loss_choices.len())];
         let orders = [(10, 0), (0, 20), (10, 10), (50, 0)];
@@ -334,9 +334,9 @@
             }
             self.site.cut_from_store(node, is_cut);
         }
-        let upstreams_per_data_centre = self.site.upstreams() / DATA_CENTRES as usize;
+        let upstreams_per_data_centre = self.site.upstream_count() / DATA_CENTRES as usize;
         let loss = is_cut.then_some(PathLoss::Orders);
-        for upstream in 0..self.site.upstreams() {
+        for upstream in 0..self.site.upstream_count() {
             for node in 0..self.down.len() {
                 if inside.contains(&node) != (upstream / upstreams_per_data_centre == data_centre) {
                     self.site.set_upstream_path(node, upstream, loss);
--- a/lib/tests/step_needs.rs
+++ b/lib/tests/step_needs.rs
@@ -50,13 +50,13 @@
         let mut site = started();
         site.label_upstream(labelled, "big");
         site.run_ms(1_000);
-        for node in 0..site.nodes() {
+        for node in 0..site.node_count() {
             let id = format!("{node:016x}");
             site.submit(node, "look", &id, &labelled_job(3, "big"));
             site.run_ms(400);
             assert!(is_completed(&site, &id), "{labelled}, {node}");
         }
-        assert_eq!(site.start_count(labelled), 3 * site.nodes() as u64);
+        assert_eq!(site.start_count(labelled), 3 * site.node_count() as u64);
     }
 }
 
@@ -69,7 +69,7 @@
     site.submit(0, "look", "00000000000000aa", &job);
     site.run_ms(600);
     assert!(is_completed(&site, "00000000000000aa"));
-    for upstream in 0..site.upstreams() {
+    for upstream in 0..site.upstream_count() {
         assert_eq!(site.start_count(upstream), 1, "{upstream}");
     }
 }
@@ -81,7 +81,7 @@
         let mut site = started();
         site.label_upstream(near, "rack-1");
         site.run_ms(1_000);
-        for node in 0..site.nodes() {
+        for node in 0..site.node_count() {
             let mut job = run_job(1, 1_000, 100);
             job.steps[0].data_rack = Some(Arc::from("rack-1"));
             let id = format!("{node:016x}");
@@ -89,6 +89,6 @@
             site.run_ms(300);
             assert!(is_completed(&site, &id), "{near}, {node}");
         }
-        assert_eq!(site.start_count(near), site.nodes() as u64, "{near}");
+        assert_eq!(site.start_count(near), site.node_count() as u64, "{near}");
     }
 }
--- a/lib/tests/stopping_home.rs
+++ b/lib/tests/stopping_home.rs
@@ -137,6 +137,8 @@
         "{:?}",
         site.answer(ID)
     );
-    let starts: u64 = (0..site.upstreams()).map(|up| site.start_count(up)).sum();
+    let starts: u64 = (0..site.upstream_count())
+        .map(|up| site.start_count(up))
+        .sum();
     assert_eq!(starts, 2);
 }
--- a/lib/tests/sustained_overload.rs
+++ b/lib/tests/sustained_overload.rs
@@ -41,7 +41,7 @@
     let until = site.now_ms() + OVERLOAD_MS;
     let mut next = 1;
     while site.now_ms() < until {
-        let node = next as usize % site.nodes();
+        let node = next as usize % site.node_count();
         let job = run_job(TASKS, 6_800, RUN_MS);
         site.submit(node, "look", &format!("{next:016x}"), &job);
         next += 1;
--- a/lib/tests/upstream_owners.rs
+++ b/lib/tests/upstream_owners.rs
@@ -17,7 +17,7 @@
 }
 
 fn usable(site: &RunSite) -> usize {
-    (0..site.nodes())
+    (0..site.node_count())
         .map(|node| site.usable_upstreams(node))
         .sum()
 }
@@ -44,7 +44,7 @@
     site.kill(0);
     // Its heartbeats must be missing for 2.5 s, and the next read must find its row removed.
     site.run_ms(4_500);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
 }
 
 #[test]
@@ -54,7 +54,7 @@
     site.run_ms(600);
     site.start_node(0);
     site.run_ms(700);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
 }
 
 #[test]
@@ -97,7 +97,7 @@
     site.run_ms(1_500);
     assert_eq!(completed(&site), 50);
     assert_eq!(site.usable_upstreams(0), 0);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
@@ -177,7 +177,7 @@
             "{seed}: {:?}",
             site.violations()
         );
-        assert_eq!(usable(&site), site.upstreams(), "seed {seed}");
+        assert_eq!(usable(&site), site.upstream_count(), "seed {seed}");
         assert_eq!(site.running(), 0, "seed {seed}");
     }
 }
@@ -211,10 +211,10 @@
     site.run_ms(1_500);
     assert_eq!(completed(&site), 150);
     // Its siblings can reach it, so it stays the owner of its upstreams.
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
     site.cut_from_store(0, false);
     site.run_ms(1_500);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
@@ -226,7 +226,7 @@
     site.set_store_down(false);
     site.run_ms(3_000);
     assert_eq!(completed(&site), 100);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
 }
 
 #[test]
@@ -237,10 +237,10 @@
     site.set_store_down(false);
     site.delist(0);
     site.run_ms(1_900);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
     site.relist(0);
     site.run_ms(1_500);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
 }
 
 #[test]
@@ -251,7 +251,7 @@
     site.set_store_down(false);
     site.delist(0);
     site.run_ms(2_600);
-    assert_eq!(usable(&site), site.upstreams() - 1);
+    assert_eq!(usable(&site), site.upstream_count() - 1);
 }
 
 #[test]
@@ -259,7 +259,7 @@
     let mut site = started(1);
     site.delist(0);
     site.run_ms(5);
-    assert_eq!(usable(&site), site.upstreams() - 1);
+    assert_eq!(usable(&site), site.upstream_count() - 1);
 }
 
 #[test]
@@ -282,15 +282,15 @@
 fn site_serves_soon_after_all_instances_died() {
     let mut site = started(1);
     submit(&mut site, 0, 20, &[0, 1, 2, 3, 4, 5], 15);
-    for node in 0..site.nodes() {
+    for node in 0..site.node_count() {
         site.kill(node);
     }
     site.run_ms(1_300);
-    for node in 0..site.nodes() {
+    for node in 0..site.node_count() {
         site.start_node(node);
     }
     site.run_ms(1_000);
-    assert_eq!(usable(&site), site.upstreams());
+    assert_eq!(usable(&site), site.upstream_count());
     submit(&mut site, 100, 50, &[0, 1, 2, 3, 4, 5], 20);
     site.run_ms(1_000);
     let completed_late = (100..150u32).filter(|number| {
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -578,12 +578,12 @@
     }
 
     /// Returns the number of instances.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
     /// Returns the number of upstreams.
-    pub fn upstreams(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
