--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -22,7 +22,7 @@
 use almondhead_net::HttpClient;
 use almondhead_net::HttpSettings;
 use almondhead_platform_standins::CallerAnswer;
-use almondhead_platform_standins::OrderFate;
+use almondhead_platform_standins::OrderHandling;
 use almondhead_platform_standins::ProcessSite;
 use almondhead_platform_standins::RunSpan;
 use almondhead_platform_standins::StoreFault;
@@ -163,7 +163,7 @@
     /// Connections to an upstream are closed.
     UpstreamReset(usize),
     /// An upstream loses, delays or refuses orders, or loses their answers.
-    UpstreamOrders(usize, OrderFate),
+    UpstreamOrders(usize, OrderHandling),
     /// All tasks fail on an upstream.
     UpstreamFailsTasks(usize),
     /// An upstream restarts.
@@ -198,9 +198,9 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamSlow(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
-        Fault::UpstreamOrders(upstream, OrderFate::Lost),
-        Fault::UpstreamOrders(upstream, OrderFate::Unhealthy),
+        Fault::UpstreamOrders(upstream, OrderHandling::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Lost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Unhealthy),
         Fault::UpstreamFailsTasks(upstream),
         Fault::UpstreamRestart(upstream),
         Fault::NewIntendedState,
@@ -226,9 +226,9 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
-        Fault::UpstreamOrders(upstream, OrderFate::Lost),
-        Fault::UpstreamOrders(upstream, OrderFate::Late),
+        Fault::UpstreamOrders(upstream, OrderHandling::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Lost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Late),
         Fault::UpstreamRestart(upstream),
         Fault::NewIntendedState,
     ];
@@ -376,7 +376,7 @@
         Fault::UpstreamCutOneWay(i) => site.upstream_proxies[i].set_faults(answers_black_holed()),
         Fault::UpstreamSlow(i) => site.upstream_proxies[i].set_faults(delayed(60)),
         Fault::UpstreamReset(i) => site.upstream_proxies[i].cut_all(),
-        Fault::UpstreamOrders(i, fate) => site.upstreams[i].set_fate(fate),
+        Fault::UpstreamOrders(i, handling) => site.upstreams[i].set_order_handling(handling),
         Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(true),
         Fault::UpstreamRestart(i) => {
             site.upstreams[i].restart();
@@ -412,7 +412,9 @@
         Fault::UpstreamCut(i) | Fault::UpstreamCutOneWay(i) | Fault::UpstreamSlow(i) => {
             site.upstream_proxies[i].heal().await?;
         }
-        Fault::UpstreamOrders(i, _) => site.upstreams[i].set_fate(OrderFate::Answered),
+        Fault::UpstreamOrders(i, _) => {
+            site.upstreams[i].set_order_handling(OrderHandling::Answered);
+        }
         Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(false),
         _ => {}
     }
--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use almondhead_platform_standins::CallerAnswer;
-use almondhead_platform_standins::OrderFate;
+use almondhead_platform_standins::OrderHandling;
 use almondhead_platform_standins::ProcessSite;
 use almondhead_platform_standins::StoreFault;
 use almondhead_platform_standins::submit;
@@ -105,13 +105,13 @@
 fn lost_orders_run_no_task_twice_at_a_time() -> TestResult {
     smol::block_on(async {
         let site = ProcessSite::start(2, 4).await?;
-        for (job, fate) in [(1, OrderFate::AnswerLost), (2, OrderFate::Lost)] {
-            site.upstreams[0].set_fate(fate);
+        for (job, handling) in [(1, OrderHandling::AnswerLost), (2, OrderHandling::Lost)] {
+            site.upstreams[0].set_order_handling(handling);
             let answer = submit_job(&site, 0, job, 8).await;
-            site.upstreams[0].set_fate(OrderFate::Answered);
+            site.upstreams[0].set_order_handling(OrderHandling::Answered);
             assert!(
                 answer.is_some_and(|answer| answer.status != 429),
-                "{fate:?}"
+                "{handling:?}"
             );
             Timer::after(Duration::from_millis(1_500)).await;
         }
