--- a/entry/tests/data_centre_cut.rs
+++ b/entry/tests/data_centre_cut.rs
@@ -175,12 +175,12 @@
         .check_served(SOUTH_ENTRY, &new_session, "new")
         .await?;
     site.install(2, &two_centre_document(site)).await?;
-    site.within_seconds(NORTH_ENTRY, "document_revision", 2)
+    site.wait_for_status_within_seconds(NORTH_ENTRY, "document_revision", 2)
         .await?;
     if cut == Cut::Both {
         assert_eq!(centres.revision(SOUTH_ENTRY).await?, 1);
     } else {
-        site.within_seconds(SOUTH_ENTRY, "document_revision", 2)
+        site.wait_for_status_within_seconds(SOUTH_ENTRY, "document_revision", 2)
             .await?;
     }
     let [between_entries, to_platform] = centres.held_back();
@@ -193,7 +193,7 @@
     let first_answer = running.await?;
 
     centres.heal().await?;
-    site.within_seconds(SOUTH_ENTRY, "document_revision", 2)
+    site.wait_for_status_within_seconds(SOUTH_ENTRY, "document_revision", 2)
         .await?;
     centres
         .resubmit(SOUTH_ENTRY, &north_session, "north")
--- a/entry/tests/promise_document_in_force.rs
+++ b/entry/tests/promise_document_in_force.rs
@@ -74,7 +74,7 @@
             let team = format!("team-{revision}");
             site.install(revision, &with_team(&site, &team)).await?;
             for entry in [0, 1] {
-                site.within_seconds(entry, "document_revision", revision)
+                site.wait_for_status_within_seconds(entry, "document_revision", revision)
                     .await?;
                 check_team(&site, entry, &team).await?;
             }
@@ -97,14 +97,15 @@
         site.wait_for_siblings(1).await?;
         site.install(7, &with_team(&site, "newer")).await?;
         for entry in [0, 1] {
-            site.within_seconds(entry, "document_revision", 7).await?;
+            site.wait_for_status_within_seconds(entry, "document_revision", 7)
+                .await?;
         }
         site.install(4, &with_team(&site, "older")).await?;
         let reads_before = site.platform.counters().reads;
         site.entries[1].process.kill9()?;
         assert!(!site.entries[1].process.is_running());
         let restarted = site.start_entry("entry-b", NORTH, json!({})).await?;
-        site.within_seconds(restarted, "document_revision", 7)
+        site.wait_for_status_within_seconds(restarted, "document_revision", 7)
             .await?;
         for _ in 0..STATUS_CHECKS {
             for entry in [0, restarted] {
@@ -123,7 +124,8 @@
     smol::block_on(async {
         let mut site = Site::start(1).await?;
         site.install(2, &with_team(&site, "newer")).await?;
-        site.within_seconds(0, "document_revision", 2).await?;
+        site.wait_for_status_within_seconds(0, "document_revision", 2)
+            .await?;
         site.platform.set_faults(PlatformFaults {
             outage: Outage::Refusing,
             ..PlatformFaults::default()
@@ -147,7 +149,8 @@
         let (started, ()) = try_zip(ready, healing).await?;
         assert!(site.platform.counters().refused > 0);
         for entry in [0, started] {
-            site.within_seconds(entry, "document_revision", 2).await?;
+            site.wait_for_status_within_seconds(entry, "document_revision", 2)
+                .await?;
             check_team(&site, entry, "newer").await?;
         }
         Ok(())
@@ -208,7 +211,7 @@
             }
             assert_eq!(winners.len(), 1, "{winners:?}");
             for entry in [0, 1] {
-                site.within_seconds(entry, "document_revision", round + 1)
+                site.wait_for_status_within_seconds(entry, "document_revision", round + 1)
                     .await?;
                 check_team(&site, entry, winners[0]).await?;
             }
--- a/lib/testsupport/src/site_faults.rs
+++ b/lib/testsupport/src/site_faults.rs
@@ -115,7 +115,12 @@
 
     /// Waits until a field of an entry's status has the value `wanted`, for at most
     /// [`WITHIN_SECONDS`].
-    pub async fn within_seconds(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
+    pub async fn wait_for_status_within_seconds(
+        &self,
+        entry: usize,
+        field: &str,
+        wanted: u64,
+    ) -> TestResult {
         let timeout = async {
             Timer::after(WITHIN_SECONDS).await;
             Err(format!("timed out waiting until {field} of entry {entry} is {wanted}").into())
