--- a/lib/testsupport/src/bin/standin-upstream.rs
+++ b/lib/testsupport/src/bin/standin-upstream.rs
@@ -31,7 +31,7 @@
     smol::block_on(async {
         let stand_in = UpstreamStandIn::start(settings).await?;
         println!("listening {}", stand_in.address());
-        stand_in.ended().await;
+        stand_in.wait_until_stopped().await;
         Ok(())
     })
 }
--- a/lib/testsupport/src/server.rs
+++ b/lib/testsupport/src/server.rs
@@ -36,7 +36,7 @@
     }
 
     /// Waits until the server has stopped.
-    pub(crate) async fn ended(&self) {
+    pub(crate) async fn wait_until_stopped(&self) {
         self.handle.clone().await;
     }
 }
--- a/lib/testsupport/src/upstream/stand_in.rs
+++ b/lib/testsupport/src/upstream/stand_in.rs
@@ -79,7 +79,7 @@
     }
 
     /// Waits until the server has stopped.
-    pub async fn ended(&self) {
-        self.server.ended().await;
+    pub async fn wait_until_stopped(&self) {
+        self.server.wait_until_stopped().await;
     }
 }
