--- a/lib/src/runs/roster_watch.rs
+++ b/lib/src/runs/roster_watch.rs
@@ -26,11 +26,11 @@
 }
 
 impl RosterWatch {
-    pub(crate) fn store_lost(&mut self) {
+    pub(crate) fn on_store_lost(&mut self) {
         self.store_since = None;
     }
 
-    pub(crate) fn store_regained(&mut self, now: Timestamp) {
+    pub(crate) fn on_store_regained(&mut self, now: Timestamp) {
         self.store_since.get_or_insert(now);
     }
 
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -243,12 +243,12 @@
             }
             RunEvent::RosterRead(roster) => self.apply_roster(roster),
             RunEvent::StoreRegained => {
-                self.listing.store_regained(self.now);
-                self.roster_watch.store_regained(self.now);
+                self.listing.on_store_regained(self.now);
+                self.roster_watch.on_store_regained(self.now);
             }
             RunEvent::StoreLost => {
-                self.listing.store_lost();
-                self.roster_watch.store_lost();
+                self.listing.on_store_lost();
+                self.roster_watch.on_store_lost();
             }
             RunEvent::PeerMessage { sender, message } => self.handle_message(&sender, *message),
             RunEvent::PeerNotSent { instance, message } => self.peer_not_sent(&instance, *message),
--- a/lib/src/runs/upstream_listing.rs
+++ b/lib/src/runs/upstream_listing.rs
@@ -38,12 +38,12 @@
     }
 
     /// Handles that the store has become unreachable.
-    pub(crate) fn store_lost(&mut self) {
+    pub(crate) fn on_store_lost(&mut self) {
         self.is_store_unreachable = true;
     }
 
     /// Handles that the store is reachable again.
-    pub(crate) fn store_regained(&mut self, now: Timestamp) {
+    pub(crate) fn on_store_regained(&mut self, now: Timestamp) {
         if std::mem::take(&mut self.is_store_unreachable) {
             self.regained_at = Some(now);
         }
