--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -22,7 +22,7 @@
 use almondhead_net::HttpClient;
 use almondhead_net::HttpSettings;
 use almondhead_platform_standins::CallerAnswer;
-use almondhead_platform_standins::OrderFate;
+use almondhead_platform_standins::OrderHandling;
 use almondhead_platform_standins::ProcessSite;
 use almondhead_platform_standins::RunSpan;
 use almondhead_platform_standins::StoreFault;
@@ -163,7 +163,7 @@
     /// Connections to an upstream are closed.
     UpstreamReset(usize),
     /// An upstream loses, delays or refuses orders, or loses their answers.
-    UpstreamOrders(usize, OrderFate),
+    UpstreamOrders(usize, OrderHandling),
     /// All tasks fail on an upstream.
     UpstreamFailsTasks(usize),
     /// An upstream restarts.
@@ -198,9 +198,9 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamSlow(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
-        Fault::UpstreamOrders(upstream, OrderFate::Lost),
-        Fault::UpstreamOrders(upstream, OrderFate::Unhealthy),
+        Fault::UpstreamOrders(upstream, OrderHandling::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Lost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Unhealthy),
         Fault::UpstreamFailsTasks(upstream),
         Fault::UpstreamRestart(upstream),
         Fault::NewIntendedState,
@@ -226,9 +226,9 @@
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamCutOneWay(upstream),
         Fault::UpstreamReset(upstream),
-        Fault::UpstreamOrders(upstream, OrderFate::AnswerLost),
-        Fault::UpstreamOrders(upstream, OrderFate::Lost),
-        Fault::UpstreamOrders(upstream, OrderFate::Late),
+        Fault::UpstreamOrders(upstream, OrderHandling::AnswerLost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Lost),
+        Fault::UpstreamOrders(upstream, OrderHandling::Late),
         Fault::UpstreamRestart(upstream),
         Fault::NewIntendedState,
     ];
@@ -275,7 +275,7 @@
         let tasks = rng.random_range(1..=2);
         let work_ms = rng.random_range(300..=1_600);
         let spec = JobSpec {
-            spec: Arc::from(work_ms.to_string()),
+            payload: Arc::from(work_ms.to_string()),
             ..run_job(tasks, 6_800, work_ms)
         };
         let extra_ms = 3 * (work_ms * 8 / 5 + 60);
@@ -376,7 +376,7 @@
         Fault::UpstreamCutOneWay(i) => site.upstream_proxies[i].set_faults(answers_black_holed()),
         Fault::UpstreamSlow(i) => site.upstream_proxies[i].set_faults(delayed(60)),
         Fault::UpstreamReset(i) => site.upstream_proxies[i].cut_all(),
-        Fault::UpstreamOrders(i, fate) => site.upstreams[i].set_fate(fate),
+        Fault::UpstreamOrders(i, handling) => site.upstreams[i].set_order_handling(handling),
         Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(true),
         Fault::UpstreamRestart(i) => {
             site.upstreams[i].restart();
@@ -412,7 +412,9 @@
         Fault::UpstreamCut(i) | Fault::UpstreamCutOneWay(i) | Fault::UpstreamSlow(i) => {
             site.upstream_proxies[i].heal().await?;
         }
-        Fault::UpstreamOrders(i, _) => site.upstreams[i].set_fate(OrderFate::Answered),
+        Fault::UpstreamOrders(i, _) => {
+            site.upstreams[i].set_order_handling(OrderHandling::Answered);
+        }
         Fault::UpstreamFailsTasks(i) => site.upstreams[i].set_fails_all(false),
         _ => {}
     }
@@ -426,7 +428,7 @@
     index: usize,
 ) -> TestResult {
     site.instances[index] = site.start_instance(index)?;
-    lock(state).addresses[index] = site.instances[index].callers;
+    lock(state).addresses[index] = site.instances[index].caller_address;
     // Queues are matched by host, and its host has changed.
     site.put_intended();
     Ok(())
@@ -622,7 +624,7 @@
         for attempt in 0_u64.. {
             let job = (seed << 32) + ((number as u64) << 16) + attempt;
             let path = format!("/look/{job:016x}");
-            let address = site.instances[number].callers;
+            let address = site.instances[number].caller_address;
             let spec = run_job(4, 6_800, 60);
             let answer = submit_over(&client, address, &path, &spec, CALLER_WAIT).await;
             let answer = answer.ok();
@@ -664,7 +666,7 @@
     let state = SharedState::default();
     {
         let mut state = lock(&state);
-        state.addresses = site.instances.iter().map(|at| at.callers).collect();
+        state.addresses = site.instances.iter().map(|at| at.caller_address).collect();
         state.healthy_since = vec![Some(started_at); instances];
         state.callers_reset_at = vec![None; instances];
     }
--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use almondhead_platform_standins::CallerAnswer;
-use almondhead_platform_standins::OrderFate;
+use almondhead_platform_standins::OrderHandling;
 use almondhead_platform_standins::ProcessSite;
 use almondhead_platform_standins::StoreFault;
 use almondhead_platform_standins::submit;
@@ -25,7 +25,7 @@
     tasks: u32,
 ) -> Option<CallerAnswer> {
     let path = format!("/look/{job:016x}");
-    let address = site.instances[instance].callers;
+    let address = site.instances[instance].caller_address;
     let job = run_job(tasks, 6_800, 60);
     submit(address, &path, &job, CALLER_WAIT).await.ok()
 }
@@ -59,7 +59,7 @@
         assert!(starts.values().all(|times| *times == 1));
         let path = "/other/0000000000000001";
         let job = run_job(1, 100, 10);
-        let unknown = submit(site.instances[0].callers, path, &job, CALLER_WAIT).await?;
+        let unknown = submit(site.instances[0].caller_address, path, &job, CALLER_WAIT).await?;
         assert_eq!(unknown.status, 404);
         Ok(())
     })
@@ -105,13 +105,13 @@
 fn lost_orders_run_no_task_twice_at_a_time() -> TestResult {
     smol::block_on(async {
         let site = ProcessSite::start(2, 4).await?;
-        for (job, fate) in [(1, OrderFate::AnswerLost), (2, OrderFate::Lost)] {
-            site.upstreams[0].set_fate(fate);
+        for (job, handling) in [(1, OrderHandling::AnswerLost), (2, OrderHandling::Lost)] {
+            site.upstreams[0].set_order_handling(handling);
             let answer = submit_job(&site, 0, job, 8).await;
-            site.upstreams[0].set_fate(OrderFate::Answered);
+            site.upstreams[0].set_order_handling(OrderHandling::Answered);
             assert!(
                 answer.is_some_and(|answer| answer.status != 429),
-                "{fate:?}"
+                "{handling:?}"
             );
             Timer::after(Duration::from_millis(1_500)).await;
         }
@@ -198,7 +198,7 @@
         assert!(lines.iter().all(|line| line.starts_with('{')));
         let request = almondhead_net::HttpRequest::new(
             almondhead_net::Method::GET,
-            site.instances[0].operators,
+            site.instances[0].operator_address,
             "/metrics",
         );
         let client = almondhead_net::HttpClient::new(almondhead_net::HttpSettings::default());
--- a/lib/src/peer_codec/run.rs
+++ b/lib/src/peer_codec/run.rs
@@ -18,6 +18,7 @@
 use crate::runs::run_id::JobId;
 use crate::runs::run_id::RunId;
 use crate::runs::run_id::TaskName;
+use crate::runs::run_message::EndedRun;
 use crate::runs::run_message::FoundEnd;
 use crate::runs::run_message::NotStarted;
 use crate::runs::run_message::PeerReport;
@@ -27,7 +28,6 @@
 use crate::runs::run_message::RunEnds;
 use crate::runs::run_message::RunMessage;
 use crate::runs::run_message::StepDemand;
-use crate::runs::run_message::TaskEnd;
 use crate::runs::run_message::TimedRunMessage;
 use crate::time::Timestamp;
 
@@ -163,7 +163,7 @@
             number: batch.number,
             job: batch.job.to_string(),
             service: batch.service.to_string(),
-            spec: batch.spec.to_string(),
+            spec: batch.payload.to_string(),
             priority: batch.priority,
             objective_left_us: batch.objective_left_us,
             deadline_left_us: to_us(batch.deadline_left),
@@ -182,7 +182,7 @@
             number: batch.number,
             job: decode_job_id("run_batch.job", &batch.job)?,
             service: name("run_batch.service", batch.service)?,
-            spec: Arc::from(batch.spec),
+            payload: Arc::from(batch.spec),
             priority: batch.priority,
             objective_left_us: batch.objective_left_us,
             deadline_left: Duration::from_micros(batch.deadline_left_us),
@@ -197,7 +197,7 @@
     fn from(demand: StepDemand) -> Self {
         proto::StepDemand {
             step: demand.step,
-            room: Some(demand.demand.into()),
+            room: Some(demand.resources.into()),
             expected_run_us: to_us(demand.expected_run_time),
             declared_run_us: to_us(demand.declared_run_time),
             required_label: demand.required_label.map(|label| label.to_string()),
@@ -213,7 +213,7 @@
     fn try_from(demand: proto::StepDemand) -> Result<Self, DecodeError> {
         Ok(StepDemand {
             step: demand.step,
-            demand: required("run_batch.demands.room", demand.room)?.into(),
+            resources: required("run_batch.demands.room", demand.room)?.into(),
             expected_run_time: Duration::from_micros(demand.expected_run_us),
             declared_run_time: Duration::from_micros(demand.declared_run_us),
             required_label: optional_name("run_batch.demands.label", demand.required_label)?,
@@ -228,7 +228,7 @@
         proto::PlacedTask {
             step: task.step,
             index: task.index,
-            run: task.run,
+            run: task.run_number,
             known_run_us: task.known_run_time.map(to_us),
             avoid: task.avoid.iter().map(ToString::to_string).collect(),
         }
@@ -245,7 +245,7 @@
         Ok(PlacedTask {
             step: task.step,
             index: task.index,
-            run: task.run,
+            run_number: task.run,
             known_run_time: task.known_run_us.map(Duration::from_micros),
             avoid: avoid.collect::<Result<_, _>>()?,
         })
@@ -259,7 +259,7 @@
             occurrence: run.task.occurrence,
             step: run.task.step,
             index: run.task.index,
-            run: run.run,
+            run: run.run_number,
         }
     }
 }
@@ -275,7 +275,7 @@
                 step: run.step,
                 index: run.index,
             },
-            run: run.run,
+            run_number: run.run,
         })
     }
 }
@@ -302,8 +302,8 @@
     }
 }
 
-impl From<TaskEnd> for proto::RunEnd {
-    fn from(end: TaskEnd) -> Self {
+impl From<EndedRun> for proto::RunEnd {
+    fn from(end: EndedRun) -> Self {
         let how = match end.end {
             RunEnd::Done { work } => End::DoneWorkUs(to_us(work)),
             RunEnd::Failed { upstream } => End::FailedOn(upstream.to_string()),
@@ -326,7 +326,7 @@
     }
 }
 
-impl TryFrom<proto::RunEnd> for TaskEnd {
+impl TryFrom<proto::RunEnd> for EndedRun {
     type Error = DecodeError;
 
     fn try_from(end: proto::RunEnd) -> Result<Self, DecodeError> {
@@ -349,7 +349,7 @@
                 upstream: name("ends.too_slow.upstream", too_slow.upstream)?,
             },
         };
-        Ok(TaskEnd {
+        Ok(EndedRun {
             run: required("ends.run", end.run)?.try_into()?,
             end: how,
         })
--- a/lib/src/runs/held_batch.rs
+++ b/lib/src/runs/held_batch.rs
@@ -7,10 +7,10 @@
 use super::run_id::LeasedUpstreamKey;
 use super::run_id::RunId;
 use super::run_id::TaskName;
+use super::run_message::EndedRun;
 use super::run_message::PlacedTask;
 use super::run_message::RunBatch;
 use super::run_message::StepDemand;
-use super::run_message::TaskEnd;
 use super::upstream_choice::PlacementRequest;
 use super::whole_ms::whole_ms;
 use crate::id::Incarnation;
@@ -28,7 +28,7 @@
     pub(crate) job: JobId,
     pub(crate) service: Arc<str>,
     /// The job's text, sent with each start.
-    pub(crate) spec: Arc<str>,
+    pub(crate) payload: Arc<str>,
     /// The rank of the job's queue, zero first.
     pub(crate) priority: u32,
     /// When the job is to end, in microseconds on this instance's clock; negative before its zero.
@@ -43,7 +43,7 @@
     /// Whether a task of the job runs or has run, as known here so far.
     pub(crate) has_begun: bool,
     /// Ends that the home was not notified of yet.
-    pub(crate) unreported: Vec<TaskEnd>,
+    pub(crate) unreported: Vec<EndedRun>,
     pub(crate) done_runs: Vec<DoneRun>,
 }
 
@@ -95,7 +95,7 @@
             number: batch.number,
             job: batch.job,
             service: batch.service,
-            spec: batch.spec,
+            payload: batch.payload,
             priority: batch.priority,
             objective_at_us: now_us.saturating_add(batch.objective_left_us),
             deadline: now + batch.deadline_left,
@@ -176,7 +176,7 @@
     pub(crate) fn core_ms(&self, task: TaskIndex) -> u64 {
         let step_demand = self.step_demand(task);
         core_ms(
-            step_demand.demand.cpu_millicores,
+            step_demand.resources.cpu_millicores,
             self.expected_run_time(task),
         )
     }
@@ -203,6 +203,6 @@
             step: placed.step,
             index: placed.index,
         },
-        run: placed.run,
+        run_number: placed.run_number,
     }
 }
--- a/lib/src/runs/home.rs
+++ b/lib/src/runs/home.rs
@@ -25,11 +25,11 @@
 use super::run_id::HomeJobKey;
 use super::run_id::JobId;
 use super::run_id::RunId;
+use super::run_message::EndedRun;
 use super::run_message::FoundEnd;
 use super::run_message::NotStarted;
 use super::run_message::RunBatch;
 use super::run_message::RunEnd;
-use super::run_message::TaskEnd;
 use super::whole_ms::whole_ms;
 use crate::id::RequestId;
 use crate::run_estimate::RunEstimate;
@@ -270,9 +270,9 @@
         now: Timestamp,
         owner: OwnerRef,
         batch: u64,
-        ends: Vec<TaskEnd>,
+        ends: Vec<EndedRun>,
     ) {
-        for TaskEnd { run, end } in ends {
+        for EndedRun { run, end } in ends {
             let Some(key) = self.by_id.get(&run.task.job).copied() else {
                 continue;
             };
@@ -381,7 +381,7 @@
         match reason {
             NotStarted::TooLate => return self.begin_ending(now, key, NotRun::WaitedTooLong),
             NotStarted::Overdue => return self.set_overdue(now, key, task),
-            NotStarted::OldRun => job.tasks[task].run += 1,
+            NotStarted::OldRun => job.tasks[task].run_number += 1,
             NotStarted::Invalid => return self.end_job(now, key, JobEnd::Failed),
             _ => {}
         }
@@ -1081,7 +1081,7 @@
     let expected = job.expected_run_times.first().copied().unwrap_or_default();
     tracing::info!(
         job = %job.id, queue = %job.queue.name, steps = job.spec.steps.len(), tasks = job.tasks.len(),
-        cpu_millicores = step.map_or(0, |step| step.demand.cpu_millicores),
+        cpu_millicores = step.map_or(0, |step| step.resources.cpu_millicores),
         declared_ms = whole_ms(declared), expected_ms = whole_ms(expected),
         objective_ms = whole_ms(job.objective_at.since(now)),
         limit_ms = whole_ms(job.deadline.since(now)),
--- a/lib/src/runs/home_job.rs
+++ b/lib/src/runs/home_job.rs
@@ -61,7 +61,10 @@
     /// The name of a task's current run.
     pub(crate) fn run(&self, task: usize) -> RunId {
         let HomeTask {
-            step, index, run, ..
+            step,
+            index,
+            run_number,
+            ..
         } = self.tasks[task];
         RunId {
             task: TaskName {
@@ -70,7 +73,7 @@
                 step,
                 index,
             },
-            run,
+            run_number,
         }
     }
 
@@ -78,7 +81,9 @@
     pub(crate) fn task_of(&self, run: RunId) -> Option<usize> {
         let mut tasks = self.tasks.iter();
         tasks.position(|task| {
-            task.step == run.task.step && task.index == run.task.index && task.run == run.run
+            task.step == run.task.step
+                && task.index == run.task.index
+                && task.run_number == run.run_number
         })
     }
 
@@ -190,7 +195,7 @@
             let spec = &self.spec.steps[step as usize];
             StepDemand {
                 step,
-                demand: spec.demand,
+                resources: spec.resources,
                 expected_run_time: self.expected_run_times[step as usize],
                 declared_run_time: spec.declared_run_time,
                 required_label: spec.required_label.clone(),
@@ -203,7 +208,7 @@
             PlacedTask {
                 step: state.step,
                 index: state.index,
-                run: state.run,
+                run_number: state.run_number,
                 known_run_time: state.known_run_time,
                 avoid: state.avoid.clone(),
             }
@@ -212,7 +217,7 @@
             number,
             job: self.id,
             service: self.queue.service.clone(),
-            spec: self.spec.spec.clone(),
+            payload: self.spec.payload.clone(),
             priority: self.queue.priority,
             objective_left_us: signed_us(now, self.objective_at),
             deadline_left: self.deadline.since(now),
--- a/lib/src/runs/job_spec.rs
+++ b/lib/src/runs/job_spec.rs
@@ -17,7 +17,7 @@
 #[value]
 pub struct JobSpec {
     /// Opaque text that is sent to the upstream with each start of a task.
-    pub spec: Arc<str>,
+    pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<StepSpec>,
     /// Whether the job must survive the loss of its home, so that its caller can ask for its state
@@ -34,7 +34,7 @@
     /// The number of its tasks.
     pub tasks: u32,
     /// The resources that each task needs.
-    pub demand: Resources,
+    pub resources: Resources,
     /// The caller's estimate of the run time of one task, zero if it has none.
     pub declared_run_time: Duration,
     /// The earlier steps, by number from zero, whose tasks must all be done first.
--- a/lib/src/runs/run_dispatcher.rs
+++ b/lib/src/runs/run_dispatcher.rs
@@ -132,7 +132,7 @@
             home: Home::default(),
             owner: Owner::new(limits.lease),
             peers: PeerTable::default(),
-            listing: UpstreamListing::new(limits.relisting_time),
+            listing: UpstreamListing::new(limits.relisting_grace),
             intended: None,
             intended_body: Bytes::new(),
             decoder,
@@ -243,12 +243,12 @@
             }
             RunEvent::RosterRead(roster) => self.apply_roster(roster),
             RunEvent::StoreRegained => {
-                self.listing.store_regained(self.now);
-                self.roster_watch.store_regained(self.now);
+                self.listing.on_store_regained(self.now);
+                self.roster_watch.on_store_regained(self.now);
             }
             RunEvent::StoreLost => {
-                self.listing.store_lost();
-                self.roster_watch.store_lost();
+                self.listing.on_store_lost();
+                self.roster_watch.on_store_lost();
             }
             RunEvent::PeerMessage { sender, message } => self.handle_message(&sender, *message),
             RunEvent::PeerNotSent { instance, message } => self.peer_not_sent(&instance, *message),
@@ -801,7 +801,7 @@
 /// The free processor capacity of a load in thousandths of a core, and whether tasks are queued.
 fn load_summary(digest: &RunDigest) -> (u32, bool) {
     let free = digest.services.iter().flat_map(|load| &load.free);
-    let free = free.map(|upstream| upstream.free.cpu_millicores);
+    let free = free.map(|upstream| upstream.free_resources.cpu_millicores);
     let has_queue = digest.services.iter().any(|load| load.queued_tasks > 0);
     (free.fold(0, u32::saturating_add), has_queue)
 }
--- a/lib/src/runs/run_message.rs
+++ b/lib/src/runs/run_message.rs
@@ -103,7 +103,7 @@
     /// The service.
     pub service: Arc<str>,
     /// The job's specification text, sent to the upstream with each start.
-    pub spec: Arc<str>,
+    pub payload: Arc<str>,
     /// The rank of the job's queue; zero comes first.
     pub priority: u32,
     /// The time until the job's objective in microseconds, negative once it has passed.
@@ -124,7 +124,7 @@
     /// The step.
     pub step: u32,
     /// The resources that one task uses.
-    pub demand: Resources,
+    pub resources: Resources,
     /// The expected run time of one task.
     pub expected_run_time: Duration,
     /// The run time of one task that the caller declared; zero when it declared none.
@@ -145,7 +145,7 @@
     /// Its index in the step.
     pub index: u32,
     /// The number of this start.
-    pub run: u32,
+    pub run_number: u32,
     /// Its run time on an upstream of usual speed, if the progress of earlier runs showed it.
     pub known_run_time: Option<Duration>,
     /// Upstreams on which earlier runs of it failed, were lost or were too slow.
@@ -158,14 +158,14 @@
     /// The batch.
     pub batch: u64,
     /// The tasks that ended.
-    pub ends: Vec<TaskEnd>,
+    pub ends: Vec<EndedRun>,
     /// The sender's load.
     pub digest: RunDigest,
 }
 
 /// A run that ended, and how.
 #[value]
-pub struct TaskEnd {
+pub struct EndedRun {
     /// The run.
     pub run: RunId,
     /// How it ended.
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -578,12 +578,12 @@
     }
 
     /// Returns the number of instances.
-    pub fn nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
     /// Returns the number of upstreams.
-    pub fn upstreams(&self) -> usize {
+    pub fn upstream_count(&self) -> usize {
         self.upstreams.len()
     }
 
@@ -913,7 +913,7 @@
         };
         let request = StartRequest {
             run,
-            demand: job.steps[run.task.step as usize].demand,
+            resources: job.steps[run.task.step as usize].resources,
             work,
             lease_until_ms,
             fence,
--- a/lib/testsupport/src/site_faults.rs
+++ b/lib/testsupport/src/site_faults.rs
@@ -115,7 +115,12 @@
 
     /// Waits until a field of an entry's status has the value `wanted`, for at most
     /// [`WITHIN_SECONDS`].
-    pub async fn within_seconds(&self, entry: usize, field: &str, wanted: u64) -> TestResult {
+    pub async fn wait_for_status_within_seconds(
+        &self,
+        entry: usize,
+        field: &str,
+        wanted: u64,
+    ) -> TestResult {
         let timeout = async {
             Timer::after(WITHIN_SECONDS).await;
             Err(format!("timed out waiting until {field} of entry {entry} is {wanted}").into())
@@ -125,8 +130,8 @@
 
     /// Returns the current value of a field of an entry's status.
     pub async fn status_of(&self, entry: usize, field: &str) -> Result<Value, Box<dyn Error>> {
-        let operators = self.entries[entry].operators;
-        let request = HttpRequest::new(Method::GET, operators, "/status");
+        let operator_address = self.entries[entry].operator_address;
+        let request = HttpRequest::new(Method::GET, operator_address, "/status");
         Ok(json_of(&self.send(request).await?)?[field].clone())
     }
 
