--- a/ctl/examples/measure/main.rs
+++ b/ctl/examples/measure/main.rs
@@ -28,7 +28,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let matches = command().get_matches();
     if let Some((UPSTREAMS, arguments)) = matches.subcommand() {
-        let count: usize = *arguments.get_one("count").expect("has a default");
+        let count: usize = *arguments.get_one("count").expect("--count has a default");
         return smol::block_on(upstreams::serve(count));
     }
     let rows = measure(&matches)?;
@@ -73,8 +73,10 @@
 }
 
 fn measure(matches: &ArgMatches) -> Result<Vec<Row>, Box<dyn Error>> {
-    let seed: u64 = *matches.get_one("seed").expect("has a default");
-    let duration_s: u64 = *matches.get_one("duration-s").expect("has a default");
+    let seed: u64 = *matches.get_one("seed").expect("--seed has a default");
+    let duration_s: u64 = *matches
+        .get_one("duration-s")
+        .expect("--duration-s has a default");
     let is_selected = |option: &str, name: &str| {
         let part: Option<&String> = matches.get_one(option);
         part.is_none_or(|part| name.contains(part.as_str()))
--- a/ctl/src/check_command.rs
+++ b/ctl/src/check_command.rs
@@ -28,7 +28,7 @@
 pub(crate) struct CheckReport {
     /// The path of the file, as given.
     pub(crate) file: String,
-    /// The problems in the order of the text; empty when the document is sound.
+    /// The problems in the order of the text; empty when the document is valid.
     pub(crate) problems: Vec<Problem>,
 }
 
@@ -64,7 +64,7 @@
 
 /// Returns the path given for [`file_argument`].
 pub(crate) fn file_of(arguments: &ArgMatches) -> &Path {
-    let file: &PathBuf = arguments.get_one(FILE).expect("is required");
+    let file: &PathBuf = arguments.get_one(FILE).expect("FILE is required");
     file
 }
 
--- a/ctl/src/completions_command.rs
+++ b/ctl/src/completions_command.rs
@@ -32,7 +32,7 @@
 
 /// Writes the completion script.
 pub(crate) fn run(arguments: &ArgMatches) -> Result<Exit, CtlError> {
-    let shell: Shell = *arguments.get_one(SHELL).expect("is required");
+    let shell: Shell = *arguments.get_one(SHELL).expect("the shell is required");
     let mut script = Vec::new();
     generate(shell, &mut cli::command(), "almondctl", &mut script);
     write_text(&String::from_utf8_lossy(&script))?;
--- a/ctl/src/console_command.rs
+++ b/ctl/src/console_command.rs
@@ -48,7 +48,9 @@
 
 /// Serves the console until the process is interrupted.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
-    let listen: SocketAddr = *arguments.get_one(LISTEN).expect("has a default");
+    let listen: SocketAddr = *arguments
+        .get_one(LISTEN)
+        .expect("the address has a default");
     let author = arguments.get_one("author").cloned();
     let console = Console::new(context.store()?, author);
     serve(console, listen).await?;
--- a/ctl/src/context.rs
+++ b/ctl/src/context.rs
@@ -63,9 +63,11 @@
 
     /// Reads the global options.
     pub(crate) fn new(matches: &ArgMatches) -> Self {
-        let timeout_ms: u64 = *matches.get_one(TIMEOUT).expect("has a default");
+        let timeout_ms: u64 = *matches.get_one(TIMEOUT).expect("the timeout has a default");
         Context {
-            format: *matches.get_one(OUTPUT).expect("has a default"),
+            format: *matches
+                .get_one(OUTPUT)
+                .expect("the output format has a default"),
             timeout: Duration::from_millis(timeout_ms),
             platform_address: matches.get_one(PLATFORM).copied(),
         }
--- a/ctl/src/diff_command.rs
+++ b/ctl/src/diff_command.rs
@@ -65,7 +65,9 @@
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
     let mut documents = Vec::new();
     for name in [BEFORE, AFTER] {
-        let argument: &String = arguments.get_one(name).expect("is required");
+        let argument: &String = arguments
+            .get_one(name)
+            .expect("both documents are required");
         match DocumentSource::parse(argument).load(context).await? {
             Ok(document) => documents.push(document),
             Err(problems) => return report_problems(context, Path::new(argument), problems),
--- a/ctl/src/error.rs
+++ b/ctl/src/error.rs
@@ -68,7 +68,7 @@
         /// The failed step, the peer and the cause.
         source: Box<PlatformError>,
     },
-    /// The load could not be started or its metrics not be read.
+    /// An option of the load is invalid, no session could be opened, or the metrics could not be read.
     #[display("{source}")]
     Load {
         /// The failed step, the peer and the cause.
--- a/ctl/src/exit.rs
+++ b/ctl/src/exit.rs
@@ -9,7 +9,8 @@
 pub(crate) enum Exit {
     /// The command succeeded.
     Ok,
-    /// A document has problems, or an entry instance is not ready or not at the newest revision.
+    /// A document has problems, a stored revision is damaged, an edit of the draft failed, or an
+    /// entry instance is not ready or not at the newest revision.
     Faults,
     /// The arguments, or the files or revisions that they name, cannot be used.
     Usage,
--- a/ctl/src/history_command.rs
+++ b/ctl/src/history_command.rs
@@ -67,7 +67,7 @@
 
 /// Reads the history and writes it.
 pub(crate) async fn run(context: &Context, arguments: &ArgMatches) -> Result<Exit, CtlError> {
-    let limit: u16 = *arguments.get_one(LIMIT).expect("has a default");
+    let limit: u16 = *arguments.get_one(LIMIT).expect("the limit has a default");
     let heads = context.store()?.history(usize::from(limit)).await?;
     write_report(context.format, &HistoryReport { heads })?;
     Ok(Exit::Ok)
--- a/ctl/src/load_options.rs
+++ b/ctl/src/load_options.rs
@@ -250,7 +250,10 @@
 }
 
 fn first<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> T {
-    matches.get_one(name).cloned().expect("has a default")
+    matches
+        .get_one(name)
+        .cloned()
+        .expect("the option has a default")
 }
 
 fn list<T: Clone + Send + Sync + 'static>(matches: &ArgMatches, name: &str) -> Vec<T> {
--- a/ctl/src/load_report.rs
+++ b/ctl/src/load_report.rs
@@ -57,7 +57,7 @@
     pub ends: IndexMap<String, u64>,
     /// The ratio of response time to ideal response time, for complete single tasks.
     pub singles_over_ideal: Percentiles,
-    /// The ratio of response time to ideal response time, for complete jobs.
+    /// The ratio of response time to ideal response time, for complete jobs other than single tasks.
     pub jobs_over_ideal: Percentiles,
     /// The time from request to refusal in milliseconds.
     pub refusal_ms: Percentiles,
--- a/lib/src/check_values.rs
+++ b/lib/src/check_values.rs
@@ -68,10 +68,10 @@
 fn check_addresses(root: &Cursor<'_>, report: &mut Report) {
     let instances = root.items("instances");
     let upstreams = root.items("upstreams");
-    let peers = instances.iter().filter_map(|one| one.field("peer_address"));
-    let workers = upstreams.iter().filter_map(|one| one.field("address"));
+    let peer_addresses = instances.iter().filter_map(|one| one.field("peer_address"));
+    let upstream_addresses = upstreams.iter().filter_map(|one| one.field("address"));
     let mut first_lines = IndexMap::new();
-    let mut addresses: Vec<Cursor<'_>> = peers.chain(workers).collect();
+    let mut addresses: Vec<Cursor<'_>> = peer_addresses.chain(upstream_addresses).collect();
     addresses.sort_by_key(Cursor::offset);
     for cursor in addresses {
         let Some(address) = cursor.text().and_then(|text| text.parse().ok()) else {
--- a/lib/src/fair_queue.rs
+++ b/lib/src/fair_queue.rs
@@ -157,7 +157,8 @@
             .map(|ordered| ordered.job)
     }
 
-    /// The first of at most [`SCAN_LIMIT`] jobs that `fits`, in the order of [`Self::first`].
+    /// The first job that `fits` accepts; tries at most [`SCAN_LIMIT`] in the order of
+    /// [`Self::first`].
     fn scan(&self, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
         let mut heads: BinaryHeap<Reverse<TeamHead>> = self
             .teams
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The job to start next: the oldest if due, otherwise the first in order that `fits`.
+    /// The job to start next: the oldest if due, otherwise the first in order that `fits` accepts.
     fn first_fitting(&self, fits: &mut dyn FnMut(JobKey) -> bool) -> Option<JobKey> {
         if let Some(oldest) = self.oldest_if_due()
             && fits(oldest)
--- a/lib/src/peer_codec/address.rs
+++ b/lib/src/peer_codec/address.rs
@@ -1,4 +1,4 @@
-//! Job addresses on the wire.
+//! Wire encoding of job addresses.
 
 use crate::id::Incarnation;
 use crate::id::JobAddress;
--- a/lib/src/peer_codec/batch.rs
+++ b/lib/src/peer_codec/batch.rs
@@ -1,4 +1,4 @@
-//! Batches of tasks and their ends on the wire.
+//! Wire encoding of batches of tasks and their ends.
 
 use std::time::Duration;
 
--- a/lib/src/peer_codec/field.rs
+++ b/lib/src/peer_codec/field.rs
@@ -1,4 +1,4 @@
-//! Checks of single fields, each with the field's name for its error.
+//! Decoding of single fields of peer messages; errors carry the field's name.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 use crate::document_limits::MAX_TASKS_PER_JOB;
 
-/// The most tasks, inputs, results or ends that one message holds: those of one job.
+/// The maximum number of items in a list that has no limit of its own: the tasks of one job.
 pub const MAX_TASKS: usize = MAX_TASKS_PER_JOB as usize;
 
-/// The most batches that one cancellation names.
+/// The maximum number of batches that one cancellation or report lists.
 pub const MAX_BATCHES_PER_CANCEL: usize = 4_096;
 
-/// The most services that one digest describes.
+/// The maximum number of services in one digest.
 pub const MAX_SERVICES: usize = 256;
 
-/// The longest name, key or `traceparent` in bytes.
+/// The maximum length of a name, key or `traceparent` in bytes.
 pub const MAX_NAME_BYTES: usize = 512;
 
-/// Why a message was not taken.
+/// Why a peer message could not be decoded.
 #[value]
 #[derive(Display, Error)]
 pub enum DecodeError {
@@ -42,8 +42,8 @@
         /// The value.
         number: i32,
     },
-    /// A number is out of its range.
-    #[display("peer message has a number out of range in the field {field}")]
+    /// A number is out of its range, or a job id is malformed.
+    #[display("peer message has an invalid value in the field {field}")]
     OutOfRange {
         /// The field.
         field: &'static str,
@@ -53,9 +53,9 @@
     TooMany {
         /// The field.
         field: &'static str,
-        /// The items found.
+        /// The number of items found.
         items: usize,
-        /// The most allowed.
+        /// The maximum allowed.
         max_items: usize,
     },
     /// A text is too long.
@@ -63,19 +63,19 @@
     TooLong {
         /// The field.
         field: &'static str,
-        /// The bytes found.
+        /// The number of bytes found.
         text_bytes: usize,
-        /// The most allowed.
+        /// The maximum allowed.
         max_bytes: usize,
     },
 }
 
-/// The value of a field that must be there.
+/// Returns the value of a required field.
 pub(super) fn required<T>(field: &'static str, value: Option<T>) -> Result<T, DecodeError> {
     value.ok_or(DecodeError::Missing { field })
 }
 
-/// A list of at most `max_items`.
+/// Returns the list if it has at most `max_items` items.
 pub(super) fn bounded<T>(
     field: &'static str,
     list: Vec<T>,
@@ -92,7 +92,7 @@
     Ok(list)
 }
 
-/// A text of at most [`MAX_NAME_BYTES`].
+/// Returns the text if it has at most [`MAX_NAME_BYTES`] bytes.
 pub(super) fn name(field: &'static str, text: String) -> Result<Arc<str>, DecodeError> {
     let text_bytes = text.len();
     if text_bytes > MAX_NAME_BYTES {
@@ -105,7 +105,7 @@
     Ok(Arc::from(text))
 }
 
-/// A text that may be absent, of at most [`MAX_NAME_BYTES`].
+/// Returns an optional text if it is absent or has at most [`MAX_NAME_BYTES`] bytes.
 pub(super) fn optional_name(
     field: &'static str,
     text: Option<String>,
@@ -113,7 +113,7 @@
     text.map(|text| name(field, text)).transpose()
 }
 
-/// A span in whole microseconds, the longest when it does not fit.
-pub(super) fn to_us(span: Duration) -> u64 {
-    u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
+/// Converts a duration to whole microseconds; [`u64::MAX`] if it does not fit.
+pub(super) fn to_us(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/lib/src/peer_codec/run_load.rs
+++ b/lib/src/peer_codec/run_load.rs
@@ -1,4 +1,4 @@
-//! Loads of instances that own upstreams, on the wire.
+//! Wire encoding of the loads of instances that own upstreams.
 
 use crate::peer_codec::field::DecodeError;
 use crate::peer_codec::field::MAX_SERVICES;
--- a/lib/src/peer_codec/submission.rs
+++ b/lib/src/peer_codec/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions on the wire.
+//! Wire encoding of submissions.
 
 use std::time::Duration;
 
--- a/lib/src/runs/run_settings.rs
+++ b/lib/src/runs/run_settings.rs
@@ -29,8 +29,10 @@
     pub lease: Duration,
     /// The timeout of a request whose caller names no time, on a queue without a timeout.
     pub default_timeout: Duration,
-    /// How long it takes until live upstreams are listed again after an outage of the platform's
-    /// store.
+    /// How long upstreams may take to list themselves again after an outage of the platform's store.
+    ///
+    /// Entries may expire in an outage although their upstreams still run, so removals seen during
+    /// it or within this time after it are delayed.
     pub relisting_grace: Duration,
     /// The maximum number of open jobs.
     pub max_open_jobs: usize,
--- a/lib/testsupport/src/core_fakes.rs
+++ b/lib/testsupport/src/core_fakes.rs
@@ -419,25 +419,25 @@
 
     /// Returns the violated guarantees, a line each; empty if there are none.
     pub fn guarantee_violations(&self) -> String {
-        let mut broken = self.violations.clone();
+        let mut violations = self.violations.clone();
         let mut possible = self.starts.clone();
         for open in &self.attempts {
             *possible.entry(task_start(&open.attempt)).or_default() += 1;
         }
         for (start, count) in &possible {
             if *count > 1 {
-                broken += &format!("{start:?} may have started {count} times\n");
+                violations += &format!("{start:?} may have started {count} times\n");
             }
             let job = &self.jobs[start.job];
             let only_not_run =
                 job.open_requests == 0 && job.complete_answers + job.failed_answers == 0;
             if *count > 0 && only_not_run {
-                broken += &format!(
+                violations += &format!(
                     "{start:?} may have started although its job was answered as not run\n"
                 );
             }
         }
-        broken
+        violations
     }
 }
 
--- a/lib/testsupport/src/platform/handler.rs
+++ b/lib/testsupport/src/platform/handler.rs
@@ -207,7 +207,7 @@
 }
 
 impl Route {
-    /// Parses the path of a request; none if no resource has this path.
+    /// Parses the path of a request; `None` if no resource has this path.
     fn parse(method: Method, path: &str) -> Option<Self> {
         let segments = path.split('/').skip(1).map(decode_segment);
         let segments = segments.collect::<Option<Vec<_>>>()?;
@@ -243,7 +243,7 @@
 }
 
 /// Returns the condition of a write: `Some(None)` if the row must be absent, `Some(Some(revision))`
-/// if it must have this revision, and none if the request states no valid condition.
+/// if it must have this revision, and `None` if the request states no valid condition.
 fn expected_revision(conn: &Conn) -> Option<Option<u64>> {
     if header(conn, "if-none-match").as_deref() == Some("*") {
         return Some(None);
--- a/lib/testsupport/src/process/error.rs
+++ b/lib/testsupport/src/process/error.rs
@@ -41,7 +41,7 @@
         output: String,
     },
     /// The process did not write a valid address.
-    #[display("read the address of process {id}: {line}")]
+    #[display("read the address of process {id}: no valid address in the line {line:?}")]
     Address {
         /// The process id.
         id: u32,
--- a/lib/testsupport/src/request.rs
+++ b/lib/testsupport/src/request.rs
@@ -9,7 +9,7 @@
     conn.request_headers().get_str(name).map(str::to_owned)
 }
 
-/// Decodes a request body from JSON; none if the request was cut off or the body is not valid.
+/// Decodes a request body from JSON; `None` if the request was cut off or the body is not valid.
 pub(crate) async fn read_json<T: DeserializeOwned>(conn: &mut Conn) -> Option<T> {
     let body = conn.request_body().read_bytes().await.ok()?;
     serde_json::from_slice(&body).ok()
