--- a/entry/tests/attempt_ends.rs
+++ b/entry/tests/attempt_ends.rs
@@ -1,4 +1,4 @@
-//! The outcome that a caller is answered when an upstream or its network fails, checked against the
+//! The outcome that a caller gets when an upstream or its network fails, checked against the
 //! upstream's own record of starts.
 
 use std::time::Duration;
--- a/entry/tests/caller_limits.rs
+++ b/entry/tests/caller_limits.rs
@@ -120,7 +120,7 @@
         let long = "x".repeat(10_000);
         let request = format!("POST /v1/tasks HTTP/1.1\r\nHost: a\r\nLong: {long}\r\n\r\n");
         let answer = exchange(site.entries[0].caller_address, request.as_bytes())?;
-        assert_eq!(answer, "", "closed without an answer");
+        assert_eq!(answer, "", "the connection must close without an answer");
         assert_eq!(site.starts().tasks, 0);
         Ok(())
     })
@@ -136,7 +136,7 @@
             .collect::<Result<_, _>>()?;
         Timer::after(Duration::from_millis(300)).await;
         let answer = exchange(address, b"GET /v1/none HTTP/1.1\r\nHost: a\r\n\r\n")?;
-        assert_eq!(answer, "", "closed without an answer");
+        assert_eq!(answer, "", "the connection must close without an answer");
         drop(open_connections);
         Timer::after(Duration::from_millis(300)).await;
         let answer = site.send_task(0, &job(1, 1)).await?;
--- a/entry/tests/fault_soak.rs
+++ b/entry/tests/fault_soak.rs
@@ -114,7 +114,7 @@
     addresses: Vec<SocketAddr>,
     /// All submissions that have ended.
     requests: Vec<SentRequest>,
-    /// Since when an instance has run undisturbed; none while it is suspended, and for good once a
+    /// Since when an instance has run undisturbed; none while it is frozen, and for good once a
     /// fault has ended it.
     healthy_since: Vec<Option<Instant>>,
     /// When the callers' connections to an instance were last reset.
@@ -140,7 +140,7 @@
     Kill(usize),
     /// Stops an instance by a signal and, once it has ended, restarts it with a new intended state.
     Stop(usize),
-    /// Suspends an instance's process.
+    /// Freezes an instance's process (`SIGSTOP`).
     Freeze(usize),
     /// The store fails for all instances.
     StoreUnavailable(StoreFault),
@@ -344,7 +344,7 @@
     }
 }
 
-/// Returns the instance whose process a fault ends or suspends.
+/// Returns the instance whose process a fault ends or freezes.
 fn ended_or_frozen_instance(fault: Fault) -> Option<usize> {
     match fault {
         Fault::Freeze(i) => Some(i),
--- a/entry/tests/frozen_process.rs
+++ b/entry/tests/frozen_process.rs
@@ -1,4 +1,4 @@
-//! An entry that was suspended (`SIGSTOP`) starts no task past the deadline after it resumes.
+//! An entry that was frozen (`SIGSTOP`) starts no task past the deadline once it is thawed.
 
 use std::time::Duration;
 
--- a/entry/tests/graceful_stop.rs
+++ b/entry/tests/graceful_stop.rs
@@ -93,7 +93,7 @@
             assert_eq!(json_of(last)?["outcome"], "not_run");
             completed += answers.len() - 1;
         }
-        assert!(completed > 0, "no load before the stop");
+        assert!(completed > 0, "no task was complete before the stop");
         assert_eq!(site.starts().tasks, completed + 24);
         assert_eq!(site.starts().max_starts_per_task, 1);
         Ok(())
--- a/entry/tests/leased_site.rs
+++ b/entry/tests/leased_site.rs
@@ -147,7 +147,10 @@
         assert!(is_completed(&answer), "{answer:?}\n{}", lines.join("\n"));
         let until = Instant::now() + Duration::from_secs(6);
         while site.instances[0].process.is_running() {
-            assert!(Instant::now() < until, "still running");
+            assert!(
+                Instant::now() < until,
+                "the stopped instance still runs after 6 s"
+            );
             Timer::after(Duration::from_millis(50)).await;
         }
         // After this wait the other instance has taken over its upstreams.
@@ -209,14 +212,14 @@
             "{text}"
         );
         assert!(text.contains("almondhead_order_seconds_bucket"), "{text}");
-        // Callers of long jobs wait for more than ten seconds, which a bucket has to show.
+        // Callers of long jobs wait for more than ten seconds; the buckets must reach beyond that.
         assert!(text.contains("le=\"12\""), "{text}");
         Ok(())
     })
 }
 
-/// Guards against a job that runs twice: a suspended instance accepted it on resuming, although its
-/// caller had disconnected and submitted it to another instance.
+/// Guards against a job that runs twice: a frozen instance accepts it once thawed, although its
+/// caller has disconnected and submitted it to another instance.
 #[test]
 fn request_whose_caller_left_a_frozen_instance_starts_nothing() -> TestResult {
     smol::block_on(async {
--- a/entry/tests/peer_transport.rs
+++ b/entry/tests/peer_transport.rs
@@ -176,8 +176,8 @@
     let stranger = Socket::new(Protocol::Push0).unwrap();
     let address = first.transport.local_address();
     stranger.dial(&format!("tcp://{address}")).unwrap();
-    for noise in [&b""[..], b"short", &[0; 32], &[7; 4_096]] {
-        stranger.send(noise).unwrap();
+    for bytes in [&b""[..], b"short", &[0; 32], &[7; 4_096]] {
+        stranger.send(bytes).unwrap();
     }
     wait_for_count(&first, PeerCount::NotAuthentic, 4);
     assert!(first.incoming.is_empty());
--- a/entry/tests/promise_at_most_once.rs
+++ b/entry/tests/promise_at_most_once.rs
@@ -1,5 +1,5 @@
 //! Each task of a submission starts at most once, even if messages are lost or processes are
-//! killed or suspended.
+//! killed or frozen.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 
 const MAX_RESUBMISSIONS: usize = 40;
 const RESUBMIT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the entry stays suspended after its sibling was asked for the job.
+/// How long the entry stays frozen after its sibling was asked for the job.
 const EXTRA_FREEZE_TIME: Duration = Duration::from_millis(1_500);
-/// Time after the resumption in which late starts would show.
+/// Time after the thaw in which late starts would show.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
 
 /// Starts two sibling entries and one upstream with eight slots.
--- a/entry/tests/promise_document_in_force.rs
+++ b/entry/tests/promise_document_in_force.rs
@@ -143,7 +143,10 @@
         let start = site.start_entry("entry-b", NORTH, json!({}));
         let ready = async {
             let started = start.await?;
-            assert!(healed.load(Ordering::SeqCst), "ready without a document");
+            assert!(
+                healed.load(Ordering::SeqCst),
+                "the entry was ready without a document"
+            );
             Ok(started)
         };
         let (started, ()) = try_zip(ready, healing).await?;
@@ -157,7 +160,7 @@
     })
 }
 
-/// Ends the platform's faults over HTTP, for a test that has its site borrowed.
+/// Ends the platform's faults over HTTP, for a test that holds a mutable borrow of its site.
 async fn heal_over_http(platform: std::net::SocketAddr) -> TestResult {
     let request =
         almondhead_net::HttpRequest::new(almondhead_net::Method::POST, platform, "/v1/faults");
--- a/entry/tests/promise_graceful_stop.rs
+++ b/entry/tests/promise_graceful_stop.rs
@@ -101,7 +101,7 @@
                 assert_eq!(starts, 0, "{context}");
             }
         }
-        assert!(complete > 0, "no load before the stop");
+        assert!(complete > 0, "no job was complete before the stop");
         site.check_at_most_once()
     })
 }
--- a/lib/tests/calm_runs.rs
+++ b/lib/tests/calm_runs.rs
@@ -65,7 +65,10 @@
     site.submit(1, "look", "00000000000000ac", &job);
     site.run_ms(500);
     let took = took_ms(&site, "00000000000000ac");
-    assert!((100..=120).contains(&took), "{took} ms");
+    assert!(
+        (100..=120).contains(&took),
+        "two steps of 50 ms took {took} ms"
+    );
 }
 
 #[test]
--- a/lib/tests/home_rules.rs
+++ b/lib/tests/home_rules.rs
@@ -125,7 +125,7 @@
     let mut fakes = CoreFakes::new();
     let job = fakes.submit_in_session(HOME, 1);
     let JobAddress::Session { session, .. } = fakes.jobs[job].address.clone() else {
-        panic!("a job of a session");
+        panic!("the job was not submitted in a session");
     };
     finish_all(&mut fakes);
     let late = fakes.submit_in_session(HOME, 1);
--- a/lib/tests/lost_orders.rs
+++ b/lib/tests/lost_orders.rs
@@ -67,7 +67,7 @@
     });
     // The objective of such a job is 1.6 times 60 ms plus 60 ms; three times that counts as late.
     let served = served_share(&mut site, 300, 468);
-    assert!(served > 0.97, "{served}");
+    assert!(served > 0.97, "the share completed in time is {served}");
 }
 
 #[test]
@@ -100,9 +100,13 @@
     let mut site = started(1);
     site.set_upstream_fault(0, Some(UpstreamFault::FailsAll));
     let served = served_share(&mut site, 200, 400);
-    assert!(served > 0.97, "{served}");
+    assert!(served > 0.97, "the share completed in time is {served}");
     // A few failures eject it; after that only probes with a backoff start there.
-    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
+    assert!(
+        site.start_count(0) < 20,
+        "{} starts at the faulty upstream",
+        site.start_count(0)
+    );
 }
 
 #[test]
@@ -110,14 +114,18 @@
     let mut site = started(1);
     site.set_upstream_fault(0, Some(UpstreamFault::Hangs));
     let served = served_share(&mut site, 200, 1_500);
-    assert!(served > 0.97, "{served}");
-    assert!(site.start_count(0) < 20, "{}", site.start_count(0));
+    assert!(served > 0.97, "the share completed in time is {served}");
+    assert!(
+        site.start_count(0) < 20,
+        "{} starts at the faulty upstream",
+        site.start_count(0)
+    );
 }
 
 #[test]
 fn run_on_an_upstream_that_became_slow_is_retried() {
     let mut site = started(1);
-    // One upstream in six.
+    // One upstream in six, as on the days of the operators' bench.
     for upstream in 0..2 {
         site.set_upstream_fault(upstream, Some(UpstreamFault::Slow(6.0)));
     }
@@ -127,22 +135,22 @@
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     let took = answer.answered_at.since(answer.asked_at).as_millis();
     // Six times 200 ms would take 1,200 ms.
-    assert!(took < 900, "{took} ms");
+    assert!(took < 900, "{took} ms: its tasks were not retried in time");
 }
 
 #[test]
 fn draining_upstream_gets_no_new_work() {
     let mut site = started(1);
     site.drain_upstream(0);
-    // Entries are read every 400 ms; users accept up to 2 s.
+    // Instances read the list of upstreams every 550 ms; users accept up to 2 s.
     site.run_ms(1_000);
     let before = site.start_count(0);
     served_share(&mut site, 100, 1_500);
     assert_eq!(site.start_count(0), before);
 }
 
-/// Guards against counting the lease of an upstream's previous incarnation, whose clock was ahead, for
-/// a run on the current one: the unreachable run would be retried too late.
+/// Guards against counting the lease of an upstream's previous incarnation, whose clock was ahead,
+/// for a run on the current one: the unreachable run would be retried too late.
 #[test]
 fn run_in_the_next_incarnation_of_an_upstream_is_lost_with_its_lease() {
     let mut site = RunSite::start(&SitePlan::new(1, 1, 2));
@@ -160,12 +168,12 @@
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     let took = answer.answered_at.since(answer.asked_at).as_millis();
     // At most a run of half a second, a lease of a second, and a run of half a second elsewhere.
-    assert!(took < 2_300, "{took} ms");
+    assert!(took < 2_300, "{took} ms: its runs were not retried in time");
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against runs that never count as lost, because their upstream is listed as restarted and has
-/// been unreachable since.
+/// Guards against runs that never count as lost, because their upstream is listed as restarted and
+/// has been unreachable since.
 #[test]
 fn runs_of_an_upstream_lost_with_its_restart_are_retried() {
     let mut site = RunSite::start(&SitePlan::new(2, 1, 2));
--- a/lib/tests/neighbour_bound.rs
+++ b/lib/tests/neighbour_bound.rs
@@ -17,7 +17,14 @@
 fn heartbeats_stay_bounded_as_instances_grow() {
     let small = messages_a_second(2, 4);
     let large = messages_a_second(4, 15);
-    // Of 8 instances all 7 others are neighbours; of 60, the 12 chosen and about as many that chose it.
-    assert!(small >= 7 * 6, "{small}");
-    assert!(large <= 26 * 7, "{large}");
+    // Of 8 instances all 7 others are neighbours; of 60, the 12 chosen and about as many that chose
+    // it.
+    assert!(
+        small >= 7 * 6,
+        "{small} messages a second from one of 8 instances"
+    );
+    assert!(
+        large <= 26 * 7,
+        "{large} messages a second from one of 60 instances"
+    );
 }
--- a/lib/tests/overflow_split.rs
+++ b/lib/tests/overflow_split.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Siblings with the given free slots and one-way times in milliseconds.
+/// Siblings with the given free slots and one-way delays in milliseconds.
 fn siblings(capacities: &[(u32, u64)]) -> Vec<SiblingCapacity> {
     let mut keys: SlotMap<SiblingKey, ()> = SlotMap::with_key();
     capacities
--- a/lib/tests/owner_assignment.rs
+++ b/lib/tests/owner_assignment.rs
@@ -69,7 +69,10 @@
     let owners = assign_owners(&uneven, &refs(&instances));
     let total: u32 = uneven.iter().map(|upstream| upstream.slots).sum();
     for slots in owned_slots(&uneven, &owners, 7) {
-        assert!(slots <= total / 7 + 32, "{slots} of {total}");
+        assert!(
+            slots <= total / 7 + 32,
+            "one instance owns {slots} of {total} slots"
+        );
     }
 }
 
--- a/lib/tests/peer_codec.rs
+++ b/lib/tests/peer_codec.rs
@@ -235,8 +235,8 @@
     }
 }
 
-/// Decodes arbitrary bytes; a message that is accepted encodes to about as many bytes at most, and
-/// decodes to itself.
+/// Decodes arbitrary bytes; a message that is accepted encodes to at most 64 bytes more, which
+/// decode to the same message.
 fn decode_any_bytes(bytes: Vec<u8>) {
     let length = bytes.len();
     let Ok(decoded) = proto::PeerMessage::decode(Bytes::from(bytes)) else {
--- a/lib/tests/policy_switch.rs
+++ b/lib/tests/policy_switch.rs
@@ -21,10 +21,13 @@
         attempts.any(|open| open.attempt.input == fakes.jobs[single].submission.inputs[0])
     };
     fakes.end_attempt(0, UpstreamEnd::Finish);
-    assert!(!of_single(&fakes), "first in first out");
+    assert!(!of_single(&fakes), "the later job started before its turn");
     fakes.install(WEST, 3, &policies("fair_fewest_remaining"));
     fakes.end_attempt(0, UpstreamEnd::Finish);
-    assert!(of_single(&fakes), "fewest remaining first");
+    assert!(
+        of_single(&fakes),
+        "the job with the fewest remaining tasks did not start next"
+    );
     let waiting = fakes.dispatchers[WEST].status().queued_tasks;
     assert_eq!(waiting, 20 - 3, "every other task still waits");
 }
--- a/lib/tests/queue_order.rs
+++ b/lib/tests/queue_order.rs
@@ -304,7 +304,10 @@
             queue.remove(job);
         }
         queue.charge(team, 1, Duration::from_millis(100));
-        assert!(starts <= 480 * 17, "{left} tasks left");
+        assert!(
+            starts <= 480 * 17,
+            "the large job still has {left} tasks left after {starts} starts"
+        );
     }
 }
 
@@ -383,8 +386,8 @@
         queue.charge(team, 1, Duration::from_millis(100));
     }
     let now = Timestamp::from_us(20_000_000);
-    let taken = queue.backlog(now, 100).overtaking_slots;
-    assert!((9..=10).contains(&taken), "{taken}");
+    let overtaking_slots = queue.backlog(now, 100).overtaking_slots;
+    assert!((9..=10).contains(&overtaking_slots), "{overtaking_slots}");
     let later = Timestamp::from_us(30_000_000);
     assert_eq!(queue.backlog(later, 100).overtaking_slots, 0);
 }
--- a/lib/tests/run_counts.rs
+++ b/lib/tests/run_counts.rs
@@ -9,7 +9,8 @@
     found.map_or(0, |(_, count)| *count)
 }
 
-/// Guards against ends that are found by another owner and missing from the counters.
+/// Guards against counters that miss the ends of orphaned runs which the next owner of their
+/// upstream finds.
 #[test]
 fn end_that_the_next_owner_finds_is_counted() {
     let mut site = RunSite::start(&SitePlan::new(2, 1, 2));
@@ -28,7 +29,8 @@
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
-/// Guards against a job of a caller that left being counted under another reason or not at all.
+/// Guards against a job that is given up because its caller left, but is counted under another
+/// reason or not at all.
 #[test]
 fn caller_that_leaves_is_counted() {
     let mut site = RunSite::start(&SitePlan::new(1, 1, 2));
--- a/lib/tests/run_faults.rs
+++ b/lib/tests/run_faults.rs
@@ -27,7 +27,7 @@
 /// receiver (67 and 345), and a request on a frozen instance whose caller had left (63).
 const REGRESSION_SEEDS: [u64; 8] = [190, 217, 279, 289, 294, 326, 345, 371];
 
-/// How long new jobs and faults begin in a scenario, in milliseconds.
+/// How long a scenario submits new jobs and begins faults, in milliseconds.
 const ACTIVE_MS: u64 = 8_000;
 
 /// The time between two updates of callers and faults, in milliseconds.
@@ -53,7 +53,7 @@
     work_ms: u64,
     attempts: u32,
     home: usize,
-    /// The incarnation of the home that the last attempt was submitted to.
+    /// The incarnation of the home that the job was last submitted to.
     home_incarnation: u64,
     submitted_at_ms: u64,
     resubmits_at_ms: Option<u64>,
@@ -276,7 +276,7 @@
             Fault::Kill(node) => self.set_down(node, is_on),
             Fault::Stop(node) => match is_on {
                 true => self.site.stop_node(node),
-                // What is left after its grace dies with the process.
+                // The process exits when the fault ends, even if jobs are still open.
                 false => {
                     self.set_down(node, true);
                     self.set_down(node, false);
--- a/lib/tests/stopping_home.rs
+++ b/lib/tests/stopping_home.rs
@@ -43,7 +43,7 @@
 }
 
 /// Guards against a stopping instance that refuses every job whose caller would wait beyond the
-/// exit, also a job that ends before it.
+/// exit, even a job that ends before it.
 #[test]
 fn job_that_ends_before_the_exit_is_accepted() {
     let mut site = started();
--- a/lib/tests/sustained_overload.rs
+++ b/lib/tests/sustained_overload.rs
@@ -65,7 +65,7 @@
     let completed = completed.count();
     assert!(
         completed * 10 >= CAPACITY_JOBS * 8,
-        "{completed} of {CAPACITY_JOBS} jobs"
+        "{completed} jobs completed of {CAPACITY_JOBS} that the upstreams could run"
     );
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
@@ -101,7 +101,10 @@
             "{id}: the refusal has no retry_after"
         );
         let waited = waited_ms(answer);
-        assert!(waited <= OBJECTIVE_MS + MARGIN_MS, "{id}: {waited} ms");
+        assert!(
+            waited <= OBJECTIVE_MS + MARGIN_MS,
+            "{id} was refused only after {waited} ms"
+        );
     }
     assert!(
         refused > 0,
--- a/lib/tests/upstream_health.rs
+++ b/lib/tests/upstream_health.rs
@@ -184,7 +184,10 @@
     for upstream_count in [2, 7, 50] {
         for load in [0.3, 0.8, 0.95] {
             let share = failed_share(upstream_count, load);
-            assert!(share < 0.01, "{upstream_count}, {load}: {share}");
+            assert!(
+                share < 0.01,
+                "a share of {share} failed on {upstream_count} upstreams at load {load}"
+            );
         }
     }
 }
--- a/lib/tests/upstream_owners.rs
+++ b/lib/tests/upstream_owners.rs
@@ -28,7 +28,7 @@
     done.count()
 }
 
-/// Submits a job every `gap_ms`, in turn at the given instances; jobs are numbered upwards from `from`.
+/// Submits a job every `gap_ms`, in turn at the given instances; jobs are numbered from `from`.
 fn submit(site: &mut RunSite, from: u32, jobs: u32, nodes: &[usize], gap_ms: u64) {
     for number in from..from + jobs {
         let node = nodes[number as usize % nodes.len()];
@@ -85,7 +85,7 @@
     assert_eq!(answer.answer, RunAnswer::GivenUp(GivenUp::OwnerLost));
     // A lease of a second, and up to 150 ms until the next heartbeat is missing.
     let took = answer.answered_at.since(answer.asked_at).as_millis();
-    assert!(took < 1_250, "{took} ms");
+    assert!(took < 1_250, "the job was given up only after {took} ms");
 }
 
 #[test]
@@ -274,7 +274,10 @@
     let answer = site.answer("00000000000000aa").expect("an answer");
     assert_eq!(answer.answer, RunAnswer::Ended(JobEnd::Completed));
     let took = answer.answered_at.since(answer.asked_at).as_millis();
-    assert!(took < 450, "{took} ms");
+    assert!(
+        took < 450,
+        "{took} ms: the ends of its runs were noticed late"
+    );
     assert!(site.violations().is_empty(), "{:?}", site.violations());
 }
 
--- a/lib/testsupport/src/run_site/site.rs
+++ b/lib/testsupport/src/run_site/site.rs
@@ -997,7 +997,7 @@
         }
     }
 
-    /// Returns whether answers from an upstream to an instance are lost.
+    /// Returns whether answers from an upstream to an instance are lost, as on every broken path.
     fn is_answer_lost(&self, node: usize, upstream: usize) -> bool {
         self.upstream_paths.contains_key(&(node, upstream))
     }
--- a/lib/testsupport/src/run_site/upstream.rs
+++ b/lib/testsupport/src/run_site/upstream.rs
@@ -66,7 +66,8 @@
     /// The ends that the owner has not yet acknowledged.
     pub(super) ended: Vec<EndedRow>,
     pub(super) next_end_number: u64,
-    /// The highest ended run number of each task; runs up to it are not started again.
+    /// The highest run number of each task that has ended or was ordered to stop; runs up to it
+    /// are not started any more.
     pub(super) newest_ended: IndexMap<TaskName, u32>,
     pub(super) renews: Vec<WaitingRenew>,
     /// The number of runs started so far.
--- a/net/tests/document_store.rs
+++ b/net/tests/document_store.rs
@@ -46,6 +46,7 @@
     }
 }
 
+/// Decrements a counter; returns false if it is zero already.
 fn decrement(counter: &AtomicU32) -> bool {
     let decremented = counter.fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
         left.checked_sub(1)
--- a/net/tests/http_faults.rs
+++ b/net/tests/http_faults.rs
@@ -214,7 +214,8 @@
             case.name
         );
         assert!((case.counter)(&proxy.counters()) > 0, "{}", case.name);
-        // With HTTP/2 an answer to the settings is lost in place of the task's.
+        // Over HTTP/2 a fault of answers hits the answer to the SETTINGS frame instead of the
+        // task's, so the number of starts differs.
         if protocol == Protocol::Http1 {
             assert_eq!(upstream.starts("a"), case.starts, "{}", case.name);
         }
